--- a/arrowseam/fleet/codec.py
+++ b/arrowseam/fleet/codec.py
@@ -1,7 +1,7 @@
 """The bytes of the fleet's datagrams and streams.
 
 It owns their form: a magic word, a checksum, MessagePack arrays. Fields that a later version adds at an
-array's end are passed over; what is not ours, or broken, is junk. It must never judge what a word says.
+array's end are passed over; what is not ours, or broken, is junk. It must never judge what an update says.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
     info: Info | None = None
 
 
-class Whole(msgspec.Struct, array_like=True, frozen=True):
-    """A whole state, as it goes over a stream."""
+class StateSync(msgspec.Struct, array_like=True, frozen=True):
+    """A state sync, as it goes over a stream."""
 
     version: Annotated[int, Meta(ge=1)]
     fleet: Fleet
@@ -59,7 +59,7 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _datagram: msgspec.msgpack.Decoder[Datagram] = msgspec.msgpack.Decoder(Datagram)
-_whole: msgspec.msgpack.Decoder[Whole] = msgspec.msgpack.Decoder(Whole)
+_state_sync: msgspec.msgpack.Decoder[StateSync] = msgspec.msgpack.Decoder(StateSync)
 
 
 def size(part: Record | Cordon) -> int:
@@ -97,18 +97,18 @@
     return found
 
 
-def encode_stream(message: Datagram | Whole) -> bytes:
+def encode_stream(message: Datagram | StateSync) -> bytes:
     """One frame of a stream, with its length before it."""
-    kind = b"W" if isinstance(message, Whole) else b"D"
+    kind = b"W" if isinstance(message, StateSync) else b"D"
     data = _sealed(kind + _encoder.encode(message))
     return len(data).to_bytes(LENGTH, "big") + data
 
 
-def decode_stream(data: bytes, fleet: str) -> Datagram | Whole:
+def decode_stream(data: bytes, fleet: str) -> Datagram | StateSync:
     """A frame without its length; raises Junk."""
     body = _opened(data)
     try:
-        found = _whole.decode(body[1:]) if body[:1] == b"W" else _datagram.decode(body[1:])
+        found = _state_sync.decode(body[1:]) if body[:1] == b"W" else _datagram.decode(body[1:])
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise Junk(f"malformed: {error}") from None
     if found.fleet != fleet:
--- a/arrowseam/fleet/cordons.py
+++ b/arrowseam/fleet/cordons.py
@@ -58,29 +58,29 @@
         if out:
             if known is None and len(self.held) >= MOST:
                 return None
-            word = Cordon(server, self.clock.stamp(wall_ms), by)
+            update = Cordon(server, self.clock.stamp(wall_ms), by)
         else:
             assert known is not None
-            word = Cordon(server, known.out, known.out_by, known.out, known.out_by, by)
-        return self.take(word)
+            update = Cordon(server, known.out, known.out_by, known.out, known.out_by, by)
+        return self.take(update)
 
-    def take(self, word: Cordon) -> Cordon | None:
-        """Merge one word; what holds now if that changed anything."""
-        known = self.held.get(word.server)
+    def take(self, update: Cordon) -> Cordon | None:
+        """Merge one update; what holds now if that changed anything."""
+        known = self.held.get(update.server)
         if known is None and len(self.held) >= MOST:
             return None
-        found = word if known is None else known.merged(word)
+        found = update if known is None else known.merged(update)
         if found == known:
             return None
         self.clock.seen(max(found.out, found.back))
         if known is not None:
             self.digest ^= mark_of(known)
         self.digest ^= mark_of(found)
-        self.held[word.server] = found
+        self.held[update.server] = found
         return found
 
-    def merge(self, words: Iterable[Cordon]) -> list[Cordon]:
-        return [found for word in words if (found := self.take(word)) is not None]
+    def merge(self, updates: Iterable[Cordon]) -> list[Cordon]:
+        return [found for update in updates if (found := self.take(update)) is not None]
 
 
 def mark_of(cordon: Cordon) -> int:
--- a/arrowseam/fleet/keeper.py
+++ b/arrowseam/fleet/keeper.py
@@ -262,7 +262,8 @@
             "by": record.by,
             "address": f"{record.host}:{record.port}",
             "life": record.life,
-            "turn": record.turn,
+            "incarnation": record.incarnation,
+            "turn": record.incarnation,  # its name until 0.1
             "agrees": None if digest is None else digest == self.view.digest,
             "digest": None if digest is None else f"{digest:016x}",
         }
--- a/arrowseam/fleet/records.py
+++ b/arrowseam/fleet/records.py
@@ -1,7 +1,7 @@
-"""What is said of a member of the fleet, and which of two words about it holds.
+"""What is said of a member of the fleet, and which of two updates about it holds.
 
-It owns the order of words: a total one, so that views merge by taking the larger word, in whatever order and
-however often they come. It must never do I/O or read a clock.
+It owns the order of updates: a total one, so that views merge by taking the larger update, in whatever order
+and however often they come. It must never do I/O or read a clock.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class State(IntEnum):
-    """Of two words about the same turn of a member the one further down holds."""
+    """Of two updates about the same incarnation of a member the one further down holds."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -36,12 +36,12 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """One word about one member."""
+    """One update about one member."""
 
     name: Name
     life: Number  # microseconds: when it started, by its own clock, or one more than any life met before
     nonce: Number  # drawn at its start: tells two processes apart that claim one life
-    turn: Number  # raised by the member itself to refute what is said of it
+    incarnation: Number  # raised by the member itself to refute what is said of it
     state: State
     host: Annotated[str, Meta(min_length=1, max_length=64)]
     port: Port
@@ -49,7 +49,7 @@
 
     @property
     def key(self) -> Key:
-        return self.life, self.nonce, self.turn, self.state
+        return self.life, self.nonce, self.incarnation, self.state
 
     @property
     def who(self) -> Life:
--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -20,19 +20,19 @@
 from typing import Any, TypeAlias
 
 from arrowseam.fleet import codec
-from arrowseam.fleet.codec import ACK, ASK, NACK, PING, Datagram, Junk, Whole
+from arrowseam.fleet.codec import ACK, ASK, NACK, PING, Datagram, Junk, StateSync
 from arrowseam.fleet.cordons import Cordon, Cordons
+from arrowseam.fleet.gossip import Gossip
 from arrowseam.fleet.records import ENDED, Info, Life, Record, State, mark_of
-from arrowseam.fleet.rumours import Rumours
 
 MS = 1_000
 SECOND = 1_000_000
 Address: TypeAlias = tuple[str, int]
 
-MOST = 4096  # members; words of more are passed over
+MOST = 4096  # members; updates of more are passed over
 HEALTH_MOST = 8  # Lifeguard's S
 CONFIRM = 3  # independent suspicions after which one ends at its earliest
-SLICE = 50  # words of a whole state taken in at a time
+SLICE = 50  # updates of a state sync taken in at a time
 GREET = 20  # members asked at once, a period, whether they count a proxy that has just started
 QUIET = SECOND // 2  # views that differ are exchanged once nothing has changed here for so long
 EXCHANGE_GAP = SECOND
@@ -143,7 +143,7 @@
         self.infos: dict[str, tuple[Info, int]] = {}
         self.digests: dict[str, int] = {}  # what each said last of its view
         self.cordons = Cordons()
-        self.rumours = Rumours()
+        self.gossip = Gossip()
         self.ring: list[str] = []  # whom to probe, in a random order, each once a round
         self.at = 0
         self.probe: Probe | None = None
@@ -153,7 +153,7 @@
         self.met = False  # by all who may be there, in the life we live now
         self.acked: set[Life] = set()  # who has answered the life we live now
         self.floor = 0  # numbers before this one were sent in an earlier life
-        self.backlog: deque[Record] = deque()  # of whole states, not taken in yet
+        self.backlog: deque[Record] = deque()  # of state syncs, not taken in yet
         self.rivals: set[int] = set()  # nonces that our name was met with
         self.health = 0
         self.leaving = False
@@ -260,8 +260,8 @@
         except Junk as junk:
             self._junk(junk)
         else:
-            if isinstance(message, Whole):
-                self._whole(message)
+            if isinstance(message, StateSync):
+                self._state_sync(message)
                 answer = codec.encode_stream(self._state())
             elif (reply := self._message(message)) is not None:
                 answer = codec.encode_stream(reply)
@@ -277,10 +277,10 @@
     def cordon(self, now: int, wall_ms: int, server: str, out: bool) -> list[Effect]:
         """Our own operator's word."""
         self._open(now)
-        word = self.cordons.say(server, out, self.me.name, wall_ms)
-        if word is not None:
+        update = self.cordons.say(server, out, self.me.name, wall_ms)
+        if update is not None:
             self.changed_at = now
-            self.rumours.add(word)
+            self.gossip.add(update)
         return self._close()
 
     def leave(self, now: int) -> list[Effect]:
@@ -288,7 +288,7 @@
         self._open(now)
         if not self.leaving:
             self.leaving, self.met = True, False
-            self._become(turn=self.me.turn + 1, state=State.LEFT)
+            self._become(incarnation=self.me.incarnation + 1, state=State.LEFT)
             here = [n for n in self.ring if self.records[n].here]
             for name in self.rnd.sample(here, min(FAREWELLS, len(here))):
                 self._ping(self.records[name])
@@ -375,7 +375,7 @@
         if first is not None:
             told.append(first)
             room -= codec.size(first)
-        records, cordons = self.rumours.take(self.count, room) if news else ([], [])
+        records, cordons = self.gossip.take(self.count, room) if news else ([], [])
         return Datagram(
             codec.VERSION, self.spec.fleet, kind, number, self.me, self.digest, about,
             told + [r for r in records if r != first], cordons, counted, self.info,
@@ -434,7 +434,7 @@
         return reply
 
     def _compare(self, m: Datagram) -> None:
-        """Exchange whole states where two views that have come to rest differ."""
+        """Exchange state syncs where two views that have come to rest differ."""
         gap = EXCHANGE_GAP * max(1, self.count // 100)
         if (
             m.digest != self.digest
@@ -444,11 +444,13 @@
         ):
             self._exchange(m.sender.address)
 
-    # --- whole states -------------------------------------------------------------------------------------
+    # --- state syncs -------------------------------------------------------------------------------------
 
-    def _state(self) -> Whole:
+    def _state(self) -> StateSync:
         cordons = list(self.cordons.held.values())
-        return Whole(codec.VERSION, self.spec.fleet, self.me, list(self.records.values()), cordons, self.info)
+        return StateSync(
+            codec.VERSION, self.spec.fleet, self.me, list(self.records.values()), cordons, self.info
+        )
 
     def _exchange(self, to: Address, who: Life | None = None) -> None:
         self.exchanged_at = self.now
@@ -457,7 +459,7 @@
         self.streams[token] = who
         self.out.append(Stream(token, to, codec.encode_stream(self._state())))
 
-    def _whole(self, state: Whole) -> None:
+    def _state_sync(self, state: StateSync) -> None:
         if state.sender.name == self.me.name and state.sender.nonce == self.me.nonce:
             return
         self._hear(state.sender)
@@ -471,21 +473,21 @@
         self._merge()
 
     def _merge(self) -> None:
-        """Some of what whole states brought, the rest in the next rounds: 500 words take 20 ms."""
+        """Some of what state syncs brought, the rest in the next rounds: 500 updates take 20 ms."""
         for _ in range(min(SLICE, len(self.backlog))):
             # A death that the other side of a split believes in is no more than a suspicion here.
             self._hear(self.backlog.popleft(), mild=True)
         if self.backlog:
             self._arm(self.now, "merge")
 
-    def _take_cordons(self, words: Iterable[Cordon]) -> None:
-        for word in words:
-            known = self.cordons.held.get(word.server)
+    def _take_cordons(self, updates: Iterable[Cordon]) -> None:
+        for update in updates:
+            known = self.cordons.held.get(update.server)
             was = known is not None and known.is_out
-            found = self.cordons.take(word)
+            found = self.cordons.take(update)
             if found is not None:
                 self.changed_at = self.now
-                self.rumours.add(found)
+                self.gossip.add(found)
                 if found.is_out != was:
                     self.out.append(Cordoned(found.server, found.is_out))
 
@@ -519,8 +521,8 @@
         except Junk as junk:
             self._junk(junk)
             return
-        if isinstance(message, Whole):
-            self._whole(message)
+        if isinstance(message, StateSync):
+            self._state_sync(message)
             return
         was_here = record is None or record.here
         self._message(message)
@@ -605,7 +607,12 @@
         # Others that could not tell us so much as that they failed: it is we who are cut off or slow.
         self._doubt(max(0, probe.nacks_due - probe.nacks) if probe.nacks_due else 1)
         held = self.records.get(probe.target.name)
-        if held is not None and held.who == probe.target.who and held.turn == probe.target.turn and held.here:
+        if (
+            held is not None
+            and held.who == probe.target.who
+            and held.incarnation == probe.target.incarnation
+            and held.here
+        ):
             self._suspect(held, self.me.name)
 
     # --- suspicion ----------------------------------------------------------------------------------------
@@ -621,7 +628,7 @@
         if suspicion is None or not by or by in suspicion.by or len(suspicion.by) > suspicion.need:
             return
         suspicion.by.add(by)
-        self.rumours.add(record.as_(State.SUSPECT, by))
+        self.gossip.add(record.as_(State.SUSPECT, by))
         self._arm(suspicion.ends, "suspicion", record.name)
 
     def _doubted(self, record: Record) -> None:
@@ -644,7 +651,7 @@
             return
         self._set(record.as_(State.DEAD, self.me.name))
 
-    # --- words about members ------------------------------------------------------------------------------
+    # --- updates about members ------------------------------------------------------------------------------
 
     def _hear(self, r: Record, mild: bool = False) -> None:
         if r.name == self.me.name:
@@ -667,16 +674,16 @@
     def _about_us(self, r: Record) -> None:
         me = self.me
         if (r.life, r.nonce) == (me.life, me.nonce):
-            if r.state is not State.ALIVE and r.turn >= me.turn and not self.leaving:
+            if r.state is not State.ALIVE and r.incarnation >= me.incarnation and not self.leaving:
                 self.figures["refuted"] += 1
                 self._doubt(1)
-                self._become(turn=r.turn + 1)
+                self._become(incarnation=r.incarnation + 1)
                 self._note("member.refuted", f"{r.by or 'somebody'} held us {r.state.name.lower()}")
-            elif r.turn > me.turn:
-                self._become(turn=r.turn)
+            elif r.incarnation > me.incarnation:
+                self._become(incarnation=r.incarnation)
             return
         if (r.life, r.nonce) < (me.life, me.nonce):
-            self.rumours.add(me)  # somebody still has our former life
+            self.gossip.add(me)  # somebody still has our former life
             return
         # A later life of our name: our clock went back, or another process uses it.
         if r.nonce in self.rivals and r.state is State.ALIVE:
@@ -689,7 +696,7 @@
             self._set(r)
             return
         self.rivals.add(r.nonce)
-        self._become(life=r.life + 1, turn=0)
+        self._become(life=r.life + 1, incarnation=0)
 
     def _become(self, **fields: Any) -> None:
         """Say something new of ourselves."""
@@ -702,10 +709,10 @@
             self.met = False
             self.floor = self._next()
         self.changed_at = self.now
-        self.rumours.add(self.me)
+        self.gossip.add(self.me)
 
     def _set(self, r: Record) -> None:
-        """A word that holds from now on."""
+        """An update that holds from now on."""
         known = self.records.get(r.name)
         self.records[r.name] = r
         if known is not None:
@@ -720,7 +727,7 @@
             self.acked.discard(known.who)
             self.infos.pop(r.name, None)
             self.digests.pop(r.name, None)
-        self.rumours.add(r)
+        self.gossip.add(r)
         if r.here and (known is None or not known.here):
             self.ring.insert(self.rnd.randrange(len(self.ring) + 1), r.name)
         elif not r.here and known is not None and known.here:
@@ -786,4 +793,4 @@
                 del self.records[name], self.since[name]
                 self.infos.pop(name, None)
                 self.digests.pop(name, None)
-                self.rumours.drop(name)
+                self.gossip.drop(name)
--- a/arrowseam/lab/planted.py
+++ b/arrowseam/lab/planted.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from arrowseam.fleet.codec import Datagram, Whole
+from arrowseam.fleet.codec import Datagram, StateSync
 from arrowseam.fleet.cordons import Cordon
 from arrowseam.fleet.cordons import mark_of as cordon_mark
 from arrowseam.fleet.records import ENDED, Life, Record, State, mark_of
@@ -24,12 +24,12 @@
             super()._about_us(r)
 
 
-class TurnNotRaised(View):
-    """Refuted with the turn that was named."""
+class IncarnationNotRaised(View):
+    """Refuted with the incarnation that was named."""
 
     def _become(self, **fields: Any) -> None:
-        if fields.keys() == {"turn"}:
-            fields["turn"] = max(0, fields["turn"] - 1)
+        if fields.keys() == {"incarnation"}:
+            fields["incarnation"] = max(0, fields["incarnation"] - 1)
         super()._become(**fields)
 
 
@@ -81,37 +81,42 @@
 
 
 class LateDuplicateBelieved(View):
-    """Words are ordered by turn alone, whatever life they are of."""
+    """Updates are ordered by incarnation alone, whatever life they are of."""
 
     def _hear(self, r: Record, mild: bool = False) -> None:
         known = self.records.get(r.name)
-        if known is not None and r.name != self.me.name and r.who != known.who and r.turn >= known.turn:
+        if (
+            known is not None
+            and r.name != self.me.name
+            and r.who != known.who
+            and r.incarnation >= known.incarnation
+        ):
             self._set(r)
             return
         super()._hear(r, mild)
 
 
 class CordonsNotExchanged(View):
-    """Whole states bring no cordons."""
+    """State syncs bring no cordons."""
 
-    def _whole(self, state: Whole) -> None:
-        held, self._take_cordons = self._take_cordons, lambda words: None  # type: ignore[method-assign]
-        super()._whole(state)
+    def _state_sync(self, state: StateSync) -> None:
+        held, self._take_cordons = self._take_cordons, lambda updates: None  # type: ignore[method-assign]
+        super()._state_sync(state)
         self._take_cordons = held  # type: ignore[method-assign]
 
 
 class CordonsOverwritten(View):
-    """The word that comes last holds, whatever its stamp."""
+    """The update that comes last holds, whatever its stamp."""
 
-    def _take_cordons(self, words: Iterable[Cordon]) -> None:
-        for word in words:
-            known = self.cordons.held.pop(word.server, None)
-            if known is not None and known != word:
+    def _take_cordons(self, updates: Iterable[Cordon]) -> None:
+        for update in updates:
+            known = self.cordons.held.pop(update.server, None)
+            if known is not None and known != update:
                 self.cordons.digest ^= cordon_mark(known)
             elif known is not None:
-                self.cordons.held[word.server] = known
+                self.cordons.held[update.server] = known
                 continue
-            super()._take_cordons([word])
+            super()._take_cordons([update])
 
 
 class NoExchange(View):
@@ -163,7 +168,7 @@
     def _set(self, r: Record) -> None:
         super()._set(r)
         if r.state in (State.SUSPECT, State.DEAD, State.GONE):
-            self.rumours.drop(r.name)
+            self.gossip.drop(r.name)
 
 
 def no_reserve(configured: int, known: int, over: int, met: bool) -> int:
@@ -179,8 +184,9 @@
 
 
 VIEWS: tuple[type[View], ...] = (
-    NoRefutation, TurnNotRaised, DeadNeverRetried, SilentCountedOut, AlwaysMet, MetByFew, AckOfOtherLife,
-    ClockBackLocksOut, LateDuplicateBelieved, CordonsNotExchanged, CordonsOverwritten, NoExchange,
+    NoRefutation, IncarnationNotRaised, DeadNeverRetried, SilentCountedOut, AlwaysMet, MetByFew,
+    AckOfOtherLife, ClockBackLocksOut, LateDuplicateBelieved, CordonsNotExchanged, CordonsOverwritten,
+    NoExchange,
     DigestForgets, ProofOfAnotherLife, SilenceIsProof, SuspicionNeverEnds, SuspicionForAll,
 )  # fmt: skip
 NUMBERS: tuple[Callable[[int, int, int, bool], int], ...] = (no_reserve, rounded_down)
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""The fleet's view without a socket: the order of words, the bytes, the number told, and whole fleets on a
+"""The fleet's view without a socket: the order of updates, the bytes, the number told, and whole fleets on a
 virtual clock under faults, judged by what came out."""
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from arrowseam.fleet import codec, size
 from arrowseam.fleet.cordons import Cordon, Cordons
+from arrowseam.fleet.gossip import Gossip
 from arrowseam.fleet.records import Info, Record, State
-from arrowseam.fleet.rumours import Rumours
 from arrowseam.fleet.view import Send, Spec, Stream, View
 from arrowseam.lab import planted
 from arrowseam.lab.schedules import Player, Schedule, Step, draw, shrink
@@ -23,9 +23,9 @@
 
 
 def record(
-    name: str = "m0", life: int = 5, nonce: int = 1, turn: int = 0, state: State = State.ALIVE
+    name: str = "m0", life: int = 5, nonce: int = 1, incarnation: int = 0, state: State = State.ALIVE
 ) -> Record:
-    return Record(name, life, nonce, turn, state, "127.0.0.1", 7000)
+    return Record(name, life, nonce, incarnation, state, "127.0.0.1", 7000)
 
 
 # --- words ------------------------------------------------------------------------------------------------
@@ -37,8 +37,8 @@
         (record(state=State.SUSPECT), record()),
         (record(state=State.DEAD), record(state=State.SUSPECT)),
         (record(state=State.GONE), record(state=State.DEAD)),
-        (record(turn=1), record(state=State.DEAD)),  # refuted
-        (record(life=6), record(turn=9, state=State.LEFT)),  # started again
+        (record(incarnation=1), record(state=State.DEAD)),  # refuted
+        (record(life=6), record(incarnation=9, state=State.LEFT)),  # started again
         (record(nonce=2), record(nonce=1)),
     ],
 )
@@ -58,10 +58,10 @@
 
 
 @given(st.lists(cordons, max_size=6), st.randoms())
-def test_cordons_merge_alike_in_any_order_and_any_number_of_times(words: list[Cordon], rnd) -> None:
+def test_cordons_merge_alike_in_any_order_and_any_number_of_times(updates: list[Cordon], rnd) -> None:
     one, other = Cordons(), Cordons()
-    one.merge(words)
-    shuffled = words + [w for w in words if rnd.random() < 0.5]
+    one.merge(updates)
+    shuffled = updates + [w for w in updates if rnd.random() < 0.5]
     rnd.shuffle(shuffled)
     other.merge(shuffled)
     assert one.held == other.held and one.digest == other.digest
@@ -150,26 +150,26 @@
     assert view.figures["unknown"] == 1 and "us" in view.records
 
 
-@pytest.mark.parametrize("words", [3, 500])
-def test_news_keeps_within_a_datagram_and_the_new_goes_first(words: int) -> None:
+@pytest.mark.parametrize("updates", [3, 500])
+def test_news_keeps_within_a_datagram_and_the_new_goes_first(updates: int) -> None:
     view = View(record("us"), Spec(), random.Random(1))
     view.start(0)
     view._hear(record("to"))
-    for n in range(words):
+    for n in range(updates):
         view._hear(record(f"member-{n:03}", state=State.LEFT))
     sent = [codec.decode(view._ping(view.records["to"]) and view.out[-1].data, "fleet") for _ in range(60)]
     assert all(len(codec.encode(m)) <= codec.DATAGRAM_MAX for m in sent)
-    assert f"member-{words - 1:03}" in {r.name for r in sent[0].news}
-    assert len({r.name for m in sent for r in m.news}) >= min(words, 400)
+    assert f"member-{updates - 1:03}" in {r.name for r in sent[0].news}
+    assert len({r.name for m in sent for r in m.news}) >= min(updates, 400)
 
 
-def test_a_rumour_is_passed_on_some_times_and_no_more() -> None:
-    rumours = Rumours()
-    rumours.add(record("old"))
+def test_an_update_is_passed_on_some_times_and_no_more() -> None:
+    gossip = Gossip()
+    gossip.add(record("old"))
     for n in range(40):
-        rumours.add(record(f"m{n}"))
-    told = [r.name for _ in range(200) for r in rumours.take(48, 700)[0]]
-    assert not rumours.held and told.count("old") == 3 * 6
+        gossip.add(record(f"m{n}"))
+    told = [r.name for _ in range(200) for r in gossip.take(48, 700)[0]]
+    assert not gossip.held and told.count("old") == 3 * 6
 
 
 # --- how many are told ------------------------------------------------------------------------------------
@@ -415,7 +415,8 @@
 HALVES = Schedule(1, 6, [Step(0, "part", ("m0", "m1", "m2"), 25 * SECOND)])
 DARK = Schedule(1, 4, [Step(0, "dark", ("m1",))])
 BITES = [
-    (planted.NoRefutation, HALVES), (planted.TurnNotRaised, HALVES), (planted.DeadNeverRetried, HALVES),
+    (planted.NoRefutation, HALVES), (planted.IncarnationNotRaised, HALVES),
+    (planted.DeadNeverRetried, HALVES),
     (planted.SilentCountedOut, HALVES), (planted.SilenceIsProof, HALVES), (planted.AlwaysMet, FEW),
     (planted.MetByFew, FEW), (planted.ClockBackLocksOut, draw(11)), (planted.CordonsNotExchanged, draw(3)),
     (planted.NoExchange, draw(3)), (planted.DigestForgets, draw(0)), (planted.SuspicionNeverEnds, DARK),
