--- a/arrowseam/agree/agent.py
+++ b/arrowseam/agree/agent.py
@@ -15,16 +15,26 @@
 import msgspec
 
 from arrowseam.agree import codec, raft
-from arrowseam.agree.book import Book, Business, Decision, Grant, Halt, Limit, Release, encoder, read
 from arrowseam.agree.budgets import Budgets
-from arrowseam.agree.codec import Base, Entry, Reign, Said, Struct, Voter, Whole
+from arrowseam.agree.codec import Checkpoint, Entry, Epoch, RaftMessage, Snapshot, Struct, Voter
+from arrowseam.agree.controller import FRESH, Controller, Report, Sight, halted
 from arrowseam.agree.gates import Counters, Seconds
 from arrowseam.agree.raft import Node, Persist, Role
-from arrowseam.agree.steward import FRESH, Report, Sight, Steward, halted
+from arrowseam.agree.replicated import (
+    Business,
+    Decision,
+    Grant,
+    Halt,
+    Limit,
+    Release,
+    ReplicatedState,
+    encoder,
+    read,
+)
 from arrowseam.fleet.records import Name, Number
 
 MS, SECOND = 1_000, 1_000_000
-LOG_MOST = 512  # entries that are kept before the book stands for them
+LOG_MOST = 512  # entries that are kept before the replicated state stands for them
 LOG_BYTES = 256 << 10  # and bytes of them: a state is one line to the child that stores it
 AGAIN = SECOND // 2  # a command without an answer is said again
 FACTS = 64  # entries of facts in one message
@@ -49,7 +59,7 @@
 class Told(Struct, frozen=True, tag=20):
     """A report; ``want``: committed entries after its index are asked for."""
 
-    reign: Reign
+    epoch: Epoch
     report: Report
     want: bool
 
@@ -57,10 +67,10 @@
 class Facts(Struct, frozen=True, tag=21):
     """What is committed. ``base`` where the entries do not reach back far enough."""
 
-    reign: Reign
+    epoch: Epoch
     me: Name
     leader: str
-    base: Base | None
+    base: Snapshot | None
     first: Number
     entries: list[Entry]
 
@@ -68,7 +78,7 @@
 class Ask(Struct, frozen=True, tag=22):
     """A command for the leader."""
 
-    reign: Reign
+    epoch: Epoch
     me: Name
     id: Number
     data: bytes
@@ -81,27 +91,27 @@
     id: Number
     text: str
     refused: str
-    index: Number = 0  # of the entry: who asks goes by a book that has it before it says so
+    index: Number = 0  # of the entry: who asks goes by a replicated state that has it before it says so
 
 
-Word: TypeAlias = Said | Told | Facts | Ask | Answered
+Message: TypeAlias = RaftMessage | Told | Facts | Ask | Answered
 
 
 class Sealed(Struct, frozen=True):
     """What goes over the wire."""
 
     fleet: str
-    word: Word
+    message: Message
 
 
 _wire: msgspec.msgpack.Decoder[Sealed] = msgspec.msgpack.Decoder(Sealed)
 
 
-def encode(fleet: str, word: Word) -> bytes:
-    return codec.sealed(encoder.encode(Sealed(fleet, word)))
+def encode(fleet: str, message: Message) -> bytes:
+    return codec.sealed(encoder.encode(Sealed(fleet, message)))
 
 
-def decode(data: bytes, fleet: str) -> Word:
+def decode(data: bytes, fleet: str) -> Message:
     """Raises codec.Junk."""
     try:
         found = _wire.decode(codec.opened(data))
@@ -109,13 +119,13 @@
         raise codec.Junk(f"malformed: {error}") from None
     if found.fleet != fleet:
         raise codec.Junk("of another fleet")
-    return found.word
+    return found.message
 
 
-def sender(word: Word) -> str:
-    if isinstance(word, Told):
-        return word.report.name
-    return word.me if isinstance(word.me, str) else word.me.name
+def sender(message: Message) -> str:
+    if isinstance(message, Told):
+        return message.report.name
+    return message.me if isinstance(message.me, str) else message.me.name
 
 
 # --- effects ------------------------------------------------------------------------------------------------
@@ -124,7 +134,7 @@
 @dataclass(frozen=True)
 class Send:
     to: str
-    word: Word
+    message: Message
 
 
 @dataclass(frozen=True)
@@ -193,8 +203,8 @@
 class Agent:
     # What it is made of; the laboratory puts faults in their place.
     node_kind: type[Node] = Node
-    book_kind: type[Book] = Book
-    steward_kind: type[Steward] = Steward
+    state_kind: type[ReplicatedState] = ReplicatedState
+    controller_kind: type[Controller] = Controller
 
     def __init__(
         self,
@@ -203,7 +213,7 @@
         nonce: int,
         spec: Spec,
         rnd: random.Random,
-        kept: Whole | None = None,
+        kept: Checkpoint | None = None,
         digest: str = "",
         keeps: bool = False,
         standing: Callable[[str], int] = lambda server: 0,
@@ -212,19 +222,19 @@
         ``standing``: what we hold at a server, or may come to hold by what is under way; asked whenever we
         report."""
         self.name, self.life, self.spec, self.rnd = name, life, spec, rnd
-        self.book = self.book_kind()
-        self.reign = self.heard = Reign()  # of the book; the latest that anybody has told of
+        self.replicated = self.state_kind()
+        self.epoch = self.heard = Epoch()  # of the replicated state; the latest that anybody has told of
         self.node: Node | None = None
         if name in spec.voters:
             self.node = self.node_kind(Voter(name, nonce), kept, spec.voters)
-            self.reign = self.node.reign
+            self.epoch = self.node.epoch
             if kept is not None:
-                self.book.load(kept.base.index, kept.base.book)
+                self.replicated.load(kept.base.index, kept.base.replicated)
         self.sight = Sight()
         self.reports: dict[str, tuple[int, Report]] = {}
         self.seconds = Seconds()
         self.first: dict[int, int] = {}  # release -> second of its first grant
-        self.steward: Steward | None = None
+        self.controller: Controller | None = None
         self.proposed = 0  # the command that is not committed yet stands at this index
         self.leader = ""  # as we know, if we are no voter
         self.digest, self.keeps = digest, keeps
@@ -244,7 +254,7 @@
         self.limit_id = 0
         self.turn = 0  # which voter is asked for facts next
         self.timers = {"election": 0, "beat": 0, "report": 0, "tick": 0}
-        self.held = True  # what the book says of us has been looked at
+        self.held = True  # what the replicated state says of us has been looked at
         self.eager = False  # what we say of ourselves is said at the end of this event
         self.due = 0
         self.now = 0
@@ -275,25 +285,32 @@
             self.eager = True
         return self._close()
 
-    def message(self, now: int, wall_ms: int, word: Word) -> list[Effect]:
+    def message(self, now: int, wall_ms: int, message: Message) -> list[Effect]:
         self._open(now, wall_ms)
-        match word:
+        match message:
             case Told():
-                self._told(word)
+                self._told(message)
             case Facts():
-                self._facts(word)
+                self._facts(message)
             case Ask():
-                self._asked_by(word)
+                self._asked_by(message)
             case Answered():
-                if word.id in self.asked and not self.asked[word.id].by:
-                    del self.asked[word.id]
-                    if word.id != self.limit_id:
-                        self.out.append(Answer(word.id, word.text, word.refused, word.index))
+                if message.id in self.asked and not self.asked[message.id].by:
+                    del self.asked[message.id]
+                    if message.id != self.limit_id:
+                        self.out.append(Answer(message.id, message.text, message.refused, message.index))
             case _:
                 if self.node is not None:
-                    self._do(self.node.message(word))
-                    led = isinstance(word, codec.Append | codec.Snap) and self.node.leader == word.me.name
-                    voted = isinstance(word, codec.Vote) and not word.pre and self.node.voted == word.me
+                    self._do(self.node.message(message))
+                    led = (
+                        isinstance(message, codec.AppendEntries | codec.InstallSnapshot)
+                        and self.node.leader == message.me.name
+                    )
+                    voted = (
+                        isinstance(message, codec.RequestVote)
+                        and not message.pre
+                        and self.node.voted == message.me
+                    )
                     # Who is no voter goes on asking: what comes may be meant for its former life.
                     if (led or voted) and self.node.role is not Role.OUT:
                         self.timers["election"] = now + self._patience()
@@ -336,11 +353,11 @@
         self._open(now, wall_ms)
         self.acting, before, self.digest = -1, self.digest, digest
         if why:
-            self.refused.add(self.book.target(self.name))
+            self.refused.add(self.replicated.target(self.name))
             self._note(
                 "release.refused", f"permit {permit}: {why}; {before or 'the own file'} stays", "error"
             )
-            mine = self.book.permit_of("proxy", self.name)
+            mine = self.replicated.permit_of("proxy", self.name)
             if mine is not None and permit in (0, mine.id):  # 0: put right by a life after the permit's
                 self.failed[mine.id] = why
                 self.begun.add(mine.id)
@@ -379,9 +396,9 @@
         self._open(now, wall_ms)
         if self.node is None or self.node.role is Role.BROKEN:
             return "this proxy is no voter", self._close()
-        self._note("agree.reset", f"a new history begins here with entry {self.book.index}", "warning")
-        reign = Reign(max(self.heard, self.reign).number + 1, self.rnd.getrandbits(53))
-        self._do(self.node.reset(reign, self.book.save(), self.book.index))
+        self._note("agree.reset", f"a new history begins here with entry {self.replicated.index}", "warning")
+        epoch = Epoch(max(self.heard, self.epoch).number + 1, self.rnd.getrandbits(53))
+        self._do(self.node.reset(epoch, self.replicated.save(), self.replicated.index))
         return "", self._close()
 
     # --- the frame of each event --------------------------------------------------------------------------
@@ -433,40 +450,40 @@
                 case raft.Commit(index, entry):
                     self._commit(index, entry)
                 case raft.Restore(index, data):
-                    if self.reign != node.reign:
+                    if self.epoch != node.epoch:
                         self.reports.clear()
-                    self.reign = node.reign
-                    self.book.load(index, data)
+                    self.epoch = node.epoch
+                    self.replicated.load(index, data)
                     self.held = False
                 case raft.Turned():
                     self._turned()
         done = node.commit - node.base.index
         many = done > LOG_MOST or (done and sum(len(e.data) for e in node.log) > LOG_BYTES)
-        if many and self.book.index == node.commit:
-            self._do(node.compact(self.book.index, self.book.save()))
+        if many and self.replicated.index == node.commit:
+            self._do(node.compact(self.replicated.index, self.replicated.save()))
 
     def _turned(self) -> None:
         node = self.node
         assert node is not None
-        if node.role is Role.LEADER and self.steward is None:
-            self.steward = self.steward_kind(self.now, self.rnd)
+        if node.role is Role.LEADER and self.controller is None:
+            self.controller = self.controller_kind(self.now, self.rnd)
             self.proposed = 0
             self.timers["beat"] = self.now + self.spec.beat
-            self._note("agree.leads", f"leads term {node.term} of reign {node.reign.number}")
-        elif node.role is not Role.LEADER and self.steward is not None:
-            self.steward = None
+            self._note("agree.leads", f"leads term {node.term} of epoch {node.epoch.number}")
+        elif node.role is not Role.LEADER and self.controller is not None:
+            self.controller = None
             self.asked = {n: asked for n, asked in self.asked.items() if not asked.by}
             self._note("agree.follows", f"leads no more; term {node.term}, leader {node.leader or 'unknown'}")
 
     def _commit(self, index: int, entry: Entry) -> None:
         done = True
         if entry.kind == codec.COMMAND:
-            decision = self.book.apply(index, entry.data)
+            decision = self.replicated.apply(index, entry.data)
             self._taken_in(decision, entry.data)
             done = decision is not None and not decision.refused
         else:
-            self.book.state.index = index
-        if self.steward is not None:
+            self.replicated.state.index = index
+        if self.controller is not None:
             if done:
                 self.timers["tick"] = self.now  # the next is proposed as soon as this one is through
             for name in self._followers():
@@ -487,8 +504,8 @@
         if isinstance(command, Grant) and not decision.refused:
             if command.release:
                 self.first.setdefault(command.release, self.now // SECOND)
-            if self.steward is not None:
-                self.steward.committed(self.now, command)
+            if self.controller is not None:
+                self.controller.committed(self.now, command)
         if command is not None and command.id in self.asked and decision.refused != "said already":
             asked = self.asked.pop(command.id)
             if asked.by:
@@ -511,21 +528,21 @@
         self._limit()
         if any(count and not self.standing(server) for server, count in self.reported.items()):
             self.eager = True  # emptied
-        node, steward = self.node, self.steward
-        if node is None or steward is None or node.role is not Role.LEADER:
+        node, controller = self.node, self.controller
+        if node is None or controller is None or node.role is not Role.LEADER:
             return
-        self._do(node.change(self.book.out("proxy")))
-        if node.role is not Role.LEADER or self.proposed > self.book.index:
+        self._do(node.change(self.replicated.out("proxy")))
+        if node.role is not Role.LEADER or self.proposed > self.replicated.index:
             return
-        for name in [n for n in self.book.state.budgets if n not in self.spec.voters]:
+        for name in [n for n in self.replicated.state.budgets if n not in self.spec.voters]:
             self._propose(Limit(voter=name, budgets=None))
             return
         seen = node.active | node.active_before | {node.me}
         whole = {v.name for v in node.voters} >= set(self.spec.voters) and node.fixed
         answers = {v.name for v in node.voters if v in seen}
         voters = {name: whole and name in answers for name in self.spec.voters}
-        command = steward.decide(
-            self.now, self.book, self.sight, self.reports, self.seconds, voters, self.first
+        command = controller.decide(
+            self.now, self.replicated, self.sight, self.reports, self.seconds, voters, self.first
         )
         if command is not None:
             self._propose(command)
@@ -544,7 +561,7 @@
         """A voter has its own budgets put in the log."""
         if self.name not in self.spec.voters or self.limit_id in self.asked:
             return
-        if self.book.index and self.book.state.budgets.get(self.name) != self.spec.budgets:
+        if self.replicated.index and self.replicated.state.budgets.get(self.name) != self.spec.budgets:
             self.limit_id = self.rnd.getrandbits(53) or 1
             self._say(Limit(voter=self.name, budgets=self.spec.budgets, by=self.name, id=self.limit_id,
                             at_ms=max(0, self.wall_ms)))  # fmt: skip
@@ -560,36 +577,40 @@
         if self.leads:
             self._enter(number, data)
         elif self.leader_name:
-            self.out.append(Send(self.leader_name, Ask(self.reign, self.name, number, data)))
+            self.out.append(Send(self.leader_name, Ask(self.epoch, self.name, number, data)))
 
     def _enter(self, number: int, data: bytes) -> None:
         assert self.node is not None
-        if number in self.book.state.said:
+        if number in self.replicated.state.said:
             return
         _, effects = self.node.propose(data)
         self._do(effects)
 
-    def _asked_by(self, word: Ask) -> None:
-        if word.reign != self.reign or not self.leads:
+    def _asked_by(self, message: Ask) -> None:
+        if message.epoch != self.epoch or not self.leads:
             return
-        if word.id in self.book.state.said:
-            found = next((d for d in reversed(self.book.state.history) if self._has_id(d, word)), None)
+        if message.id in self.replicated.state.said:
+            found = next(
+                (d for d in reversed(self.replicated.state.history) if self._has_id(d, message)), None
+            )
             if found is not None:
                 self.out.append(
-                    Send(word.me, Answered(self.name, word.id, found.text, found.refused, found.index))
+                    Send(message.me, Answered(self.name, message.id, found.text, found.refused, found.index))
                 )
             return
-        command = read(word.data)
-        if command is None or command.id != word.id:
-            self.out.append(Send(word.me, Answered(self.name, word.id, "", "not a command of this version")))
+        command = read(message.data)
+        if command is None or command.id != message.id:
+            self.out.append(
+                Send(message.me, Answered(self.name, message.id, "", "not a command of this version"))
+            )
             return
-        if word.id not in self.asked:
-            self.asked[word.id] = Asked(word.data, self.now, word.me)
-            self._enter(word.id, word.data)
+        if message.id not in self.asked:
+            self.asked[message.id] = Asked(message.data, self.now, message.me)
+            self._enter(message.id, message.data)
 
     @staticmethod
-    def _has_id(decision: Decision, word: Ask) -> bool:
-        return decision.id == word.id and decision.refused != "said already"
+    def _has_id(decision: Decision, message: Ask) -> bool:
+        return decision.id == message.id and decision.refused != "said already"
 
     # --- reports and facts --------------------------------------------------------------------------------
 
@@ -598,7 +619,7 @@
         self.timers["report"] = self.now + self.spec.report
         self.reported = {server: self.standing(server) for server in self.outs}
         report = Report(
-            self.name, self.life, self.book.index, self.digest, self.serving, list(self.done),
+            self.name, self.life, self.replicated.index, self.digest, self.serving, list(self.done),
             list(self.unused), dict(self.failed), dict(self.reported),
             {d: why for d, why in self.looked.items() if why != "?"}, self.counters, self.version, self.keeps,
         )  # fmt: skip
@@ -607,27 +628,27 @@
         for n, voter in enumerate(self.spec.voters):
             want = self.node is None and n == self.turn % len(self.spec.voters)
             if voter != self.name:
-                self.out.append(Send(voter, Told(self.reign, report, want)))
+                self.out.append(Send(voter, Told(self.epoch, report, want)))
 
     def _take_report(self, report: Report) -> None:
         self.reports[report.name] = self.now, report
         self.seconds.take(self.now // SECOND, report.name, report.life, report.counters)
 
-    def _told(self, word: Told) -> None:
-        self.heard = max(self.heard, word.reign)
-        if word.reign != self.reign:
-            if word.reign < self.reign and (word.want or self.leads):
-                self._tell_facts(word.report.name, whole=True)
+    def _told(self, message: Told) -> None:
+        self.heard = max(self.heard, message.epoch)
+        if message.epoch != self.epoch:
+            if message.epoch < self.epoch and (message.want or self.leads):
+                self._tell_facts(message.report.name, whole=True)
             return
-        held = self.reports.get(word.report.name)
-        if held is not None and held[1].life > word.report.life:
+        held = self.reports.get(message.report.name)
+        if held is not None and held[1].life > message.report.life:
             return  # of a former life, late
-        if held is not None and held[1].life == word.report.life and held[1].index > word.report.index:
+        if held is not None and held[1].life == message.report.life and held[1].index > message.report.index:
             return  # overtaken by a later one
-        self._take_report(word.report)
-        inside = self.node is not None and word.report.name in {v.name for v in self.node.progress}
-        if word.report.index < self.book.index and (word.want or (self.leads and not inside)):
-            self._tell_facts(word.report.name)
+        self._take_report(message.report)
+        inside = self.node is not None and message.report.name in {v.name for v in self.node.progress}
+        if message.report.index < self.replicated.index and (message.want or (self.leads and not inside)):
+            self._tell_facts(message.report.name)
 
     def _followers(self) -> list[str]:
         node = self.node
@@ -638,35 +659,35 @@
     def _tell_facts(self, to: str, whole: bool = False) -> None:
         """Committed entries that it has not, as far as we know."""
         node = self.node
-        if node is None or node.role is Role.OUT or node.reign != self.reign:
+        if node is None or node.role is Role.OUT or node.epoch != self.epoch:
             return
         first = 1 if whole else self.reports[to][1].index + 1
         base = None
         if first <= node.base.index:
-            base = Base(self.book.index, 0, (), self.book.save())
-            first = self.book.index + 1
+            base = Snapshot(self.replicated.index, 0, (), self.replicated.save())
+            first = self.replicated.index + 1
         at = first - node.base.index - 1
         entries = node.log[at : min(at + FACTS, node.commit - node.base.index)]
-        self.out.append(Send(to, Facts(self.reign, self.name, self.leader_name, base, first, entries)))
+        self.out.append(Send(to, Facts(self.epoch, self.name, self.leader_name, base, first, entries)))
 
-    def _facts(self, word: Facts) -> None:
-        if self.node is not None or word.reign < self.reign:
+    def _facts(self, message: Facts) -> None:
+        if self.node is not None or message.epoch < self.epoch:
             return  # a voter goes by the log, also one that is not taken in yet
-        if word.reign > self.reign:
-            self.reign = word.reign
-            self.book.load(0, b"")
-        self.leader = word.leader or self.leader
-        if word.base is not None and word.base.index > self.book.index:
-            self.book.load(word.base.index, word.base.book)
+        if message.epoch > self.epoch:
+            self.epoch = message.epoch
+            self.replicated.load(0, b"")
+        self.leader = message.leader or self.leader
+        if message.base is not None and message.base.index > self.replicated.index:
+            self.replicated.load(message.base.index, message.base.replicated)
             self.held = False
         fresh = False
-        for n, entry in enumerate(word.entries):
-            if word.first + n == self.book.index + 1:
+        for n, entry in enumerate(message.entries):
+            if message.first + n == self.replicated.index + 1:
                 fresh = True
                 if entry.kind == codec.COMMAND:
-                    self._taken_in(self.book.apply(word.first + n, entry.data), entry.data)
+                    self._taken_in(self.replicated.apply(message.first + n, entry.data), entry.data)
                 else:
-                    self.book.state.index = word.first + n
+                    self.replicated.state.index = message.first + n
         if fresh:
             self.eager = True
 
@@ -676,20 +697,20 @@
         return halted(release, self.sight)
 
     def _hold(self) -> None:
-        """What the book says of us and of the servers may have changed."""
+        """What the replicated state says of us and of the servers may have changed."""
         self.held = True
-        outs = set(self.book.out("server"))
+        outs = set(self.replicated.out("server"))
         if outs != self.outs:
             for server in sorted(outs ^ self.outs):
                 self.out.append(Out(server, server in outs))
             self.outs = outs
             self.eager = True
-        permits = {p.id: p for p in self.book.state.permits.values()}
+        permits = {p.id: p for p in self.replicated.state.permits.values()}
         self.begun &= permits.keys()
         self.done = [n for n in self.done if n in permits]
         self.unused = [n for n in self.unused if n in permits]
         self.failed = {n: why for n, why in self.failed.items() if n in permits}
-        bundles = self.book.state.bundles
+        bundles = self.replicated.state.bundles
         for digest, bundle in bundles.items():
             if digest not in self.looked:
                 self.looked[digest] = "?"
@@ -697,17 +718,17 @@
         self.looked = {d: why for d, why in self.looked.items() if d in bundles}
         if self.acting >= 0:
             return
-        permit = self.book.permit_of("proxy", self.name)
+        permit = self.replicated.permit_of("proxy", self.name)
         if permit is not None:
             if permit.id not in self.begun:
                 self._begin(permit.id)
-        elif self.book.state.targets.get(self.name, self.digest) != self.digest:
+        elif self.replicated.state.targets.get(self.name, self.digest) != self.digest:
             self._put_right()
 
     def _begin(self, number: int) -> None:
         """A permit of ours that we have not begun yet."""
-        permit = self.book.state.permits[number]
-        release = self.book.state.releases.get(permit.release)
+        permit = self.replicated.state.permits[number]
+        release = self.replicated.state.releases.get(permit.release)
         if release is None or self.life < permit.life:
             return
         restart = release.plan.kind == "restart"
@@ -730,12 +751,12 @@
 
     def _put_right(self) -> None:
         """What a restart undid, or what came about while we were away."""
-        target = self.book.target(self.name)
-        if target not in self.refused and (not target or target in self.book.state.bundles):
+        target = self.replicated.target(self.name)
+        if target not in self.refused and (not target or target in self.replicated.state.bundles):
             self._act(Act(0, "settings", target, self._bundle(target)))
 
     def _bundle(self, digest: str) -> bytes:
-        return self.book.state.bundles.get(digest, b"")
+        return self.replicated.state.bundles.get(digest, b"")
 
     def _act(self, act: Act) -> None:
         self.acting = act.permit
--- a/arrowseam/agree/codec.py
+++ b/arrowseam/agree/codec.py
@@ -1,7 +1,7 @@
 """The forms of what voters say to each other and keep, and the bytes of a message.
 
 It owns these forms: MessagePack arrays behind a magic word and a checksum. Fields that a later version adds
-at an array's end are passed over. It must never judge what a word says.
+at an array's end are passed over. It must never judge what a message says.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     life: Number
 
 
-class Reign(Struct, frozen=True, order=True):
+class Epoch(Struct, frozen=True, order=True):
     """One history of the log; a larger one was begun by an operator's hand and replaces all before."""
 
     number: Number = 0
@@ -41,25 +41,25 @@
 class Entry(Struct, frozen=True):
     term: Number
     kind: int
-    data: bytes = b""  # of VOTERS: a list of voters; of COMMAND: the book's business
+    data: bytes = b""  # of VOTERS: a list of voters; of COMMAND: the replicated state's business
 
 
-class Base(Struct, frozen=True):
+class Snapshot(Struct, frozen=True):
     """What stands for all entries up to ``index``."""
 
     index: Number = 0
     term: Number = 0
     voters: tuple[Voter, ...] = ()
-    book: bytes = b""
+    replicated: bytes = b""
 
 
 # --- what is kept -----------------------------------------------------------------------------------------
 
 
-class Hard(Struct, frozen=True, tag=1):
+class HardState(Struct, frozen=True, tag=1):
     """What a voter must not forget between two answers."""
 
-    reign: Reign
+    epoch: Epoch
     me: Voter
     term: Number
     voted: Voter | None = None
@@ -72,24 +72,24 @@
     entries: list[Entry]
 
 
-class Whole(Struct, frozen=True, tag=3):
+class Checkpoint(Struct, frozen=True, tag=3):
     """All of it, in place of all that was kept before."""
 
-    hard: Hard
-    base: Base
+    hard: HardState
+    base: Snapshot
     entries: list[Entry]
 
 
-Kept: TypeAlias = Hard | Add | Whole
+Kept: TypeAlias = HardState | Add | Checkpoint
 
 
 # --- what is said -----------------------------------------------------------------------------------------
 
 
-class Vote(Struct, frozen=True, tag=10):
+class RequestVote(Struct, frozen=True, tag=10):
     """Asks for a vote, or (``pre``) whether one would be given: that binds nobody."""
 
-    reign: Reign
+    epoch: Epoch
     term: Number
     me: Voter
     last: Number
@@ -97,16 +97,16 @@
     pre: bool
 
 
-class Voted(Struct, frozen=True, tag=11):
-    reign: Reign
+class RequestVoteReply(Struct, frozen=True, tag=11):
+    epoch: Epoch
     term: Number
     me: Voter
     granted: bool
     pre: bool
 
 
-class Append(Struct, frozen=True, tag=12):
-    reign: Reign
+class AppendEntries(Struct, frozen=True, tag=12):
+    epoch: Epoch
     term: Number
     me: Voter
     prev: Number
@@ -115,32 +115,34 @@
     commit: Number
 
 
-class Appended(Struct, frozen=True, tag=13):
-    reign: Reign
+class AppendEntriesReply(Struct, frozen=True, tag=13):
+    epoch: Epoch
     term: Number
     me: Voter
     ok: bool
     match: Number  # up to there the two logs are one; if not ``ok``, where to try next
 
 
-class Snap(Struct, frozen=True, tag=14):
+class InstallSnapshot(Struct, frozen=True, tag=14):
     """The leader's base, for who is too far behind."""
 
-    reign: Reign
+    epoch: Epoch
     term: Number
     me: Voter
-    base: Base
+    base: Snapshot
 
 
 class Hello(Struct, frozen=True, tag=15):
     """From one that is no voter and would be."""
 
-    reign: Reign
+    epoch: Epoch
     term: Number
     me: Voter
 
 
-Said: TypeAlias = Vote | Voted | Append | Appended | Snap | Hello
+RaftMessage: TypeAlias = (
+    RequestVote | RequestVoteReply | AppendEntries | AppendEntriesReply | InstallSnapshot | Hello
+)
 
 
 class Junk(ValueError):
--- a/arrowseam/agree/steward.py
+++ b/arrowseam/agree/controller.py
@@ -1,4 +1,4 @@
-"""What a leader proposes next, from the book and what it sees.
+"""What a leader proposes next, from the replicated state and what it sees.
 
 It owns the order of things: who is back, who is empty, what halts, who may go next. It must never make
 anything so (a committed entry does), take silence for a proof, or let time end a permit. Time only ever
@@ -13,19 +13,19 @@
 
 import msgspec
 
-from arrowseam.agree.book import (
+from arrowseam.agree.budgets import Group, Thing, group, refuses
+from arrowseam.agree.gates import Counters, Gate, Seconds
+from arrowseam.agree.replicated import (
     Advance,
-    Book,
     Business,
     Grant,
     Halt,
     Permit,
     Release,
+    ReplicatedState,
     Return,
     Safe,
 )
-from arrowseam.agree.budgets import Group, Thing, group, refuses
-from arrowseam.agree.gates import Counters, Gate, Seconds
 from arrowseam.fleet.records import Name, Number
 
 SECOND = 1_000_000
@@ -38,7 +38,7 @@
 
     name: Name
     life: Number
-    index: Number  # of the book that it goes by
+    index: Number  # of the replicated state that it goes by
     digest: str  # of the bundle it runs with
     serving: bool
     done: list[Number] = []  # permits after which it is back
@@ -92,7 +92,7 @@
     return "" if seen is None or seen.ready else f"{server} is not listed as ready"
 
 
-class Steward:
+class Controller:
     """One spell as a leader. What it remembers is lost with it: the next waits anew."""
 
     def __init__(self, began: int, rnd: random.Random) -> None:
@@ -131,7 +131,7 @@
     def decide(
         self,
         now: int,
-        book: Book,
+        replicated: ReplicatedState,
         sight: Sight,
         reports: Mapping[str, tuple[int, Report]],
         seconds: Seconds,
@@ -141,17 +141,17 @@
         """The next command, if there is one. ``voters``: whether each answers; a voter may only go out while
         all do, so that releases never take a quorum down."""
         self.why, self.first = "", first
-        for permit in book.state.permits.values():
+        for permit in replicated.state.permits.values():
             self.seen_out.setdefault(permit.id, now)
-            found = self._ended(permit, reports) or self._safe(now, permit, book, sight, reports)
+            found = self._ended(permit, reports) or self._safe(now, permit, replicated, sight, reports)
             if found is not None:
                 return found
-        release = book.release
+        release = replicated.release
         if release is not None:
-            found = self._release(now, book, release, sight, reports, seconds, voters)
+            found = self._release(now, replicated, release, sight, reports, seconds, voters)
             if found is not None:
                 return found
-        return self._drains(now, book, sight)
+        return self._drains(now, replicated, sight)
 
     def _ended(self, permit: Permit, reports: Mapping[str, tuple[int, Report]]) -> Business | None:
         held = reports.get(permit.thing.name)
@@ -171,7 +171,12 @@
         return None
 
     def _safe(
-        self, now: int, permit: Permit, book: Book, sight: Sight, reports: Mapping[str, tuple[int, Report]]
+        self,
+        now: int,
+        permit: Permit,
+        replicated: ReplicatedState,
+        sight: Sight,
+        reports: Mapping[str, tuple[int, Report]],
     ) -> Business | None:
         """Empty, when all who could hold something there have said so since they know that it is out."""
         if permit.what != "server" or permit.safe or len(sight.proxies) < sight.configured:
@@ -188,22 +193,22 @@
 
     # --- drains -------------------------------------------------------------------------------------------
 
-    def _pause(self, now: int, book: Book, what: str) -> bool:
+    def _pause(self, now: int, replicated: ReplicatedState, what: str) -> bool:
         """Whether the pause between two grants is on. Who leads only now waits for a whole one."""
-        pause = max((b.pause_s for b in book.state.budgets.values()), default=0.0)
-        since = self.granted.get(what, self.began if what in book.state.granted_ms else None)
+        pause = max((b.pause_s for b in replicated.state.budgets.values()), default=0.0)
+        since = self.granted.get(what, self.began if what in replicated.state.granted_ms else None)
         return since is not None and now - since < pause * SECOND
 
-    def _drains(self, now: int, book: Book, sight: Sight) -> Business | None:
-        if not book.state.wants or self._pause(now, book, "server"):
+    def _drains(self, now: int, replicated: ReplicatedState, sight: Sight) -> Business | None:
+        if not replicated.state.wants or self._pause(now, replicated, "server"):
             return None
         whole = group(seen.thing for seen in sight.servers.values())
         missing = self.missing_servers(sight)
-        out = {thing.name: thing for thing in missing} | book.out("server")
-        for name, want in book.state.wants.items():
+        out = {thing.name: thing for thing in missing} | replicated.out("server")
+        for name, want in replicated.state.wants.items():
             seen = sight.servers.get(name)
             thing = seen.thing if seen is not None else want.server
-            why = refuses(book.state.budgets, "server", thing, out, whole)
+            why = refuses(replicated.state.budgets, "server", thing, out, whole)
             if not why:
                 return Grant(what="server", subject=thing, life=0, seen=missing, whole=whole)
             self.why = self.why or f"{name}: {why}"
@@ -214,7 +219,7 @@
     def _release(
         self,
         now: int,
-        book: Book,
+        replicated: ReplicatedState,
         release: Release,
         sight: Sight,
         reports: Mapping[str, tuple[int, Report]],
@@ -223,7 +228,7 @@
     ) -> Business | None:
         if release.state not in ("running", "backing"):
             return None
-        why = self._halts(now, book, release, sight, seconds)
+        why = self._halts(now, replicated, release, sight, seconds)
         if why:
             return Halt(release=release.id, why=why)
         if release.backing:
@@ -235,9 +240,11 @@
             if not todo:
                 through = all(release.members[n].state == "new" for n in wave)
                 return self._soak(now, release) if through else None
-        return self._next(now, book, release, todo, sight, reports, voters)
+        return self._next(now, replicated, release, todo, sight, reports, voters)
 
-    def _halts(self, now: int, book: Book, release: Release, sight: Sight, seconds: Seconds) -> str:
+    def _halts(
+        self, now: int, replicated: ReplicatedState, release: Release, sight: Sight, seconds: Seconds
+    ) -> str:
         """Why the release stops, if it does."""
         if halted(release, sight):
             return f"said by {sight.marks[release.id][1]}"
@@ -246,7 +253,7 @@
                 return f"{name} could not take it"
             if member.state == "failed" and member.tried > 1 and release.backing:
                 return f"{name} could not go back"
-        for permit in book.state.permits.values():
+        for permit in replicated.state.permits.values():
             waited = now - self.seen_out.get(permit.id, now)
             if permit.release == release.id and waited > release.plan.patience_s * SECOND:
                 return f"{permit.thing.name} has not come back in {release.plan.patience_s:g} s"
@@ -298,7 +305,7 @@
     def _next(
         self,
         now: int,
-        book: Book,
+        replicated: ReplicatedState,
         release: Release,
         todo: list[str],
         sight: Sight,
@@ -307,7 +314,7 @@
     ) -> Business | None:
         """A grant for one of these, if one may go."""
         whole, missing = self.whole_proxies(sight), self.missing_proxies(sight)
-        out = {thing.name: thing for thing in missing} | book.out("proxy")
+        out = {thing.name: thing for thing in missing} | replicated.out("proxy")
         reasons = []
         for name in todo:
             peer = sight.proxies.get(name)
@@ -317,19 +324,19 @@
                 reasons.append(f"{name} is missing")
             elif not report.serving:
                 reasons.append(f"{name} does not serve")
-            elif target and target in book.state.bundles and report.checked.get(target) != "":
+            elif target and target in replicated.state.bundles and report.checked.get(target) != "":
                 said = report.checked.get(target)
                 reasons.append(f"{name} has not checked it" if said is None else f"{name}: {said}")
             elif name in voters and not all(voters.values()):
                 lost = sorted(n for n, answers in voters.items() if not answers)
                 reasons.append(f"{name} is a voter, and {', '.join(lost)} does not answer")
-            elif name in voters and (busy := sorted(voters.keys() & book.out("proxy").keys())):
+            elif name in voters and (busy := sorted(voters.keys() & replicated.out("proxy").keys())):
                 reasons.append(f"{name} is a voter, and so is {busy[0]}, which is out")
             elif self._loses(name, release, report, voters):
                 reasons.append(f"{name} keeps no state: the voters left would be no majority")
-            elif why := refuses(book.state.budgets, "proxy", peer.thing, out, whole):
+            elif why := refuses(replicated.state.budgets, "proxy", peer.thing, out, whole):
                 reasons.append(why)
-            elif self._pause(now, book, "proxy"):
+            elif self._pause(now, replicated, "proxy"):
                 self.stuck = 0, 0, ""
                 self.why = "the pause between two"
                 return None
@@ -338,7 +345,7 @@
                 return Grant(what="proxy", subject=peer.thing, life=report.life, seen=missing, whole=whole,
                              release=release.id, target=target)  # fmt: skip
         self.why = reasons[0] if reasons else ""
-        if todo and not any(p.release == release.id for p in book.state.permits.values()):
+        if todo and not any(p.release == release.id for p in replicated.state.permits.values()):
             since = self.stuck[1] if self.stuck[0] == release.id else now
             self.stuck = release.id, since, self.why
         else:
--- a/arrowseam/agree/keeper.py
+++ b/arrowseam/agree/keeper.py
@@ -25,7 +25,12 @@
 from arrowseam.agree import agent as agents
 from arrowseam.agree import codec, storage
 from arrowseam.agree.agent import Act, Agent, Answer, Check, Mark, Note, Out, Send, Spec
-from arrowseam.agree.book import (
+from arrowseam.agree.budgets import Thing
+from arrowseam.agree.codec import Checkpoint, encoder
+from arrowseam.agree.controller import Peer, Seen, Sight, not_back
+from arrowseam.agree.gates import Counters
+from arrowseam.agree.raft import Persist, Role
+from arrowseam.agree.replicated import (
     BUNDLE_MAX,
     Back,
     Business,
@@ -38,11 +43,6 @@
     Undrain,
     waves_of,
 )
-from arrowseam.agree.budgets import Thing
-from arrowseam.agree.codec import Whole, encoder
-from arrowseam.agree.gates import Counters
-from arrowseam.agree.raft import Persist, Role
-from arrowseam.agree.steward import Peer, Seen, Sight, not_back
 from arrowseam.api import BackendState
 from arrowseam.config.operator import Agree
 from arrowseam.fleet.keeper import Keeper
@@ -57,7 +57,7 @@
 LOOK = 200 * MS  # between two looks at what is seen besides the log
 ANSWER_WITHIN = 5 * SECOND  # an operator hears by then that nothing could be agreed
 STORE_WITHIN = 10 * SECOND
-_whole: msgspec.msgpack.Decoder[Whole] = msgspec.msgpack.Decoder(Whole)
+_checkpoint: msgspec.msgpack.Decoder[Checkpoint] = msgspec.msgpack.Decoder(Checkpoint)
 
 
 def wall_ms() -> int:
@@ -106,7 +106,7 @@
             pause = clock() + 20 * MS
             while clock() < pause:
                 yield pause
-        kept: Whole | None = None
+        kept: Checkpoint | None = None
         votes = self.name in self.settings.voters
         if votes and self.state_dir:
             try:
@@ -140,7 +140,7 @@
                 self._do(self.agent.wake(now, wall_ms()))
             yield min(self.agent.due, looked + LOOK)
 
-    def _load(self) -> Steps[Whole | None]:
+    def _load(self) -> Steps[Checkpoint | None]:
         """What an earlier process kept; raises ChildEnded, OSError or ValueError."""
         path = storage.place(self.state_dir, self.name)
         child = Child(self.loop, "arrowseam.agree.worker", argument=str(path))
@@ -151,7 +151,7 @@
             child.close()
             self.child = None
             raise ValueError(doc["unfit"])
-        return _whole.decode(base64.b64decode(doc["whole"])) if doc["whole"] else None
+        return _checkpoint.decode(base64.b64decode(doc["whole"])) if doc["whole"] else None
 
     def _write(self) -> Steps[None]:
         """Have the child store what there is, in order."""
@@ -210,19 +210,19 @@
             return False
         if self.agent is not None and not self.over:
             try:
-                word = agents.decode(data, self.fleet.fleet.name)
+                message = agents.decode(data, self.fleet.fleet.name)
             except codec.Junk:
                 self.figures["junk"] += 1
                 return True
             self.figures["messages_in"] += 1
-            self._do(self.agent.message(clock(), wall_ms(), word))
+            self._do(self.agent.message(clock(), wall_ms(), message))
         return True
 
     def _do(self, effects: list[agents.Effect]) -> None:
         for effect in effects:
             match effect:
-                case Send(to, word):
-                    self._send(to, word)
+                case Send(to, message):
+                    self._send(to, message)
                 case Persist():
                     self._persist(effect)
                 case Act():
@@ -251,14 +251,14 @@
         if agent is not None and (self.task.due is None or agent.due < self.task.due):
             self.loop.wake(self.task)
 
-    def _send(self, to: str, word: agents.Word) -> None:
+    def _send(self, to: str, message: agents.Message) -> None:
         peers = self.fleet.peers
         record = self.fleet.view.records.get(to)
         address = self.addresses.get(to) or (record.address if record is not None else None)
         if peers is None or address is None:
             self.figures["unsent"] += 1
             return
-        data = agents.encode(self.fleet.fleet.name, word)
+        data = agents.encode(self.fleet.fleet.name, message)
         self.figures["messages_out"] += 1
         self.figures["bytes_out"] += len(data)
         if len(data) <= codec.DATAGRAM_MAX:
@@ -375,8 +375,8 @@
             while number not in self.answers and clock() < due:
                 yield due
             text, refused, index = self.answers.pop(number, ("", "", 0))
-            # Whoever hears that it is done may go on at this proxy: its own book has to have it.
-            while agent.book.index < index and clock() < due and not self.over:
+            # Whoever hears that it is done may go on at this proxy: its own replicated state has to have it.
+            while agent.replicated.index < index and clock() < due and not self.over:
                 yield min(due, clock() + 10 * MS)
             if text or refused:
                 return not refused, refused or text
@@ -443,7 +443,7 @@
                 why = self.halt(number)
                 return not why, why or f"release {number} is halted here; it spreads"
             case ["agree", "off", name]:
-                permit = agent.book.permit_of("proxy", name) if agent is not None else None
+                permit = agent.replicated.permit_of("proxy", name) if agent is not None else None
                 if permit is None:
                     return False, f"{name} is not out"
                 off = Return(permit=permit.id, how="written off", by=by)
@@ -453,7 +453,7 @@
                     return False, "this proxy has not begun to agree"
                 why, effects = agent.reset(clock(), wall_ms())
                 self._do(effects)
-                return not why, why or f"a new history begins here with entry {agent.book.index}"
+                return not why, why or f"a new history begins here with entry {agent.replicated.index}"
         return False, "unknown call"
 
     def holds(self, server: str) -> bool:
@@ -464,7 +464,7 @@
         """The release that is named, or the one there is."""
         if rest and rest[0].isdigit():
             return int(rest[0])
-        release = self.agent.book.release if self.agent is not None else None
+        release = self.agent.replicated.release if self.agent is not None else None
         return release.id if release is not None and not rest else None
 
     def _plan(self, kind: str, options: list[str], body: bytes, by: str) -> Steps[tuple[bool, str]]:
@@ -501,26 +501,27 @@
         if agent is None:
             yield {"name": self.name, "role": "not begun", "broken": self.broken}
             return
-        node, book, steward = agent.node, agent.book, agent.steward
+        node, replicated, controller = agent.node, agent.replicated, agent.controller
         yield {
             "name": self.name,
             "role": node.role.value if node is not None else "follows",
             "leader": agent.leader_name,
             "term": node.term if node is not None else 0,
-            "reign": agent.reign.number,
-            "index": book.index,
+            "epoch": agent.epoch.number,
+            "reign": agent.epoch.number,  # its name until 0.1
+            "index": replicated.index,
             "voters": [v.name for v in node.voters] if node is not None else [],
             "wanted": list(agent.spec.voters),
             "digest": agent.digest,
-            "waits_for": steward.why if steward is not None else "",
+            "waits_for": controller.why if controller is not None else "",
             "broken": self.broken,
         }
-        for name, said in sorted(book.state.budgets.items()):
+        for name, said in sorted(replicated.state.budgets.items()):
             yield {"budgets": name} | {f: getattr(said, f) for f in said.__struct_fields__}
-        for name in book.state.wants:
+        for name in replicated.state.wants:
             yield {"wants": name}
         now = clock()
-        for permit in book.state.permits.values():
+        for permit in replicated.state.permits.values():
             row = {"permit": permit.id, "what": permit.what, "name": permit.thing.name,
                    "release": permit.release, "at_ms": permit.at_ms, "safe": permit.safe}  # fmt: skip
             if permit.what == "server" and node is not None and node.role is Role.LEADER:
@@ -530,7 +531,7 @@
                     if report.standing.get(permit.thing.name, -1) and now - at < 3 * SECOND
                 }
             yield row
-        for release in book.state.releases.values():
+        for release in replicated.state.releases.values():
             halted = agent.halted(release) and not release.over
             yield {"release": release.id, "kind": release.plan.kind, "digest": release.digest,
                    "state": release.state, "halted": halted or release.state == "halted",
@@ -540,19 +541,19 @@
 
     def show_log(self) -> Iterator[dict[str, Any]]:
         if self.agent is not None:
-            for d in self.agent.book.state.history:
+            for d in self.agent.replicated.state.history:
                 yield {f: getattr(d, f) for f in d.__struct_fields__ if f != "id"}
 
     def counters(self) -> Iterator[str]:
         agent = self.agent
         if agent is None:
             return
-        node, book = agent.node, agent.book
-        yield f"edge.agree.index:{book.index}|g"
+        node, replicated = agent.node, agent.replicated
+        yield f"edge.agree.index:{replicated.index}|g"
         yield f"edge.agree.term:{node.term if node is not None else 0}|g"
         yield f"edge.agree.leads:{int(agent.leads)}|g"
-        yield f"edge.agree.out_proxies:{len(book.out('proxy'))}|g"
-        yield f"edge.agree.out_servers:{len(book.out('server'))}|g"
+        yield f"edge.agree.out_proxies:{len(replicated.out('proxy'))}|g"
+        yield f"edge.agree.out_servers:{len(replicated.out('server'))}|g"
         for name in ("messages_in", "messages_out", "bytes_out", "junk", "unsent"):
             yield f"edge.agree.{name}:{self.figures[name]}|c"
 
--- a/arrowseam/agree/raft.py
+++ b/arrowseam/agree/raft.py
@@ -21,20 +21,20 @@
     NOOP,
     VOTERS,
     Add,
-    Append,
-    Appended,
-    Base,
+    AppendEntries,
+    AppendEntriesReply,
+    Checkpoint,
     Entry,
-    Hard,
+    Epoch,
+    HardState,
     Hello,
+    InstallSnapshot,
     Kept,
-    Reign,
-    Said,
-    Snap,
-    Vote,
-    Voted,
+    RaftMessage,
+    RequestVote,
+    RequestVoteReply,
+    Snapshot,
     Voter,
-    Whole,
     voters_data,
     voters_of,
 )
@@ -54,7 +54,7 @@
 @dataclass(frozen=True)
 class Send:
     to: str
-    what: Said
+    what: RaftMessage
 
 
 @dataclass(frozen=True)
@@ -73,10 +73,10 @@
 
 @dataclass(frozen=True)
 class Restore:
-    """The book is this from now on, as of an index."""
+    """The replicated state is this from now on, as of an index."""
 
     index: int
-    book: bytes
+    replicated: bytes
 
 
 @dataclass(frozen=True)
@@ -104,16 +104,16 @@
 
 
 class Node:
-    def __init__(self, me: Voter, kept: Whole | None = None, names: tuple[str, ...] = ()) -> None:
+    def __init__(self, me: Voter, kept: Checkpoint | None = None, names: tuple[str, ...] = ()) -> None:
         """``names`` are those that the operators want as voters, ``kept`` what an earlier process stored."""
         self.me = me
         self.names = names
-        self.reign, self.term = Reign(), 0
+        self.epoch, self.term = Epoch(), 0
         self.voted: Voter | None = None
-        self.base, self.log = Base(), list[Entry]()
+        self.base, self.log = Snapshot(), list[Entry]()
         if kept is not None:
             self.me = kept.hard.me
-            self.reign, self.term, self.voted = kept.hard.reign, kept.hard.term, kept.hard.voted
+            self.epoch, self.term, self.voted = kept.hard.epoch, kept.hard.term, kept.hard.voted
             self.base, self.log = kept.base, list(kept.entries)
         self.commit = self.base.index
         self.durable = self.last  # entries up to there are stored here
@@ -204,7 +204,7 @@
             case Role.OUT:
                 self.quiet = True
                 for name in self.names:
-                    self._say(name, Hello(self.reign, self.term, self.me))
+                    self._say(name, Hello(self.epoch, self.term, self.me))
             case Role.FOLLOWER | Role.CANDIDATE:
                 self.quiet = True
                 self._leader_is(None)
@@ -218,27 +218,29 @@
                 self._append(voter)
         return self._close()
 
-    def message(self, m: Said) -> list[Effect]:
+    def message(self, m: RaftMessage) -> list[Effect]:
         if self.role is Role.BROKEN or m.me.name == self.me.name:
             return self._close()
-        if m.reign < self.reign:
+        if m.epoch < self.epoch:
             # Whatever it is about: that history is over, and its speaker hears so.
-            self._say(m.me.name, Voted(self.reign, self.term, self.me, False, False))
+            self._say(m.me.name, RequestVoteReply(self.epoch, self.term, self.me, False, False))
             return self._close()
-        if m.reign > self.reign:
-            self._adopt(m.reign)
-        if m.term > self.term and not (isinstance(m, Vote | Voted) and m.pre and getattr(m, "granted", True)):
+        if m.epoch > self.epoch:
+            self._adopt(m.epoch)
+        if m.term > self.term and not (
+            isinstance(m, RequestVote | RequestVoteReply) and m.pre and getattr(m, "granted", True)
+        ):
             self._raise(m.term)
         match m:
-            case Vote():
+            case RequestVote():
                 self._asked(m)
-            case Voted():
+            case RequestVoteReply():
                 self._voted(m)
-            case Append():
+            case AppendEntries():
                 self._appending(m)
-            case Snap():
+            case InstallSnapshot():
                 self._snapped(m)
-            case Appended():
+            case AppendEntriesReply():
                 self._appended(m)
             case Hello():
                 self._hello(m)
@@ -273,28 +275,28 @@
         index = self._enter(COMMAND, data)
         return index, self._close()
 
-    def reset(self, reign: Reign, book: bytes, index: int) -> list[Effect]:
-        """An operator's hand: a new history whose only voter is this one, with the book that it has."""
-        self.reign = reign
+    def reset(self, epoch: Epoch, replicated: bytes, index: int) -> list[Effect]:
+        """An operator's hand: a new history whose only voter is this one, with the state that it has."""
+        self.epoch = epoch
         self.term, self.voted = 0, None
-        self.base, self.log = Base(max(1, index), 0, (self.me,), book), []
+        self.base, self.log = Snapshot(max(1, index), 0, (self.me,), replicated), []
         self._rebased()
         self._follow(None)
         self.role = Role.FOLLOWER
-        self.out.append(Restore(self.base.index, book))
+        self.out.append(Restore(self.base.index, replicated))
         self._stand(pre=False)
         return self._close()
 
-    def compact(self, index: int, book: bytes) -> list[Effect]:
-        """The book as of a committed index stands for the entries up to there."""
+    def compact(self, index: int, replicated: bytes) -> list[Effect]:
+        """The replicated state as of a committed index stands for the entries up to there."""
         if self.base.index < index <= self.commit:
             term = self.term_at(index)
             voters = next(v for at, v in reversed(self.configs) if at <= index)
             del self.log[: index - self.base.index]
-            self.base = Base(index, term, voters, book)
+            self.base = Snapshot(index, term, voters, replicated)
             self.configs = self._configs()
             self.durable = max(self.durable, index)
-            self.dirty = [self._whole()]
+            self.dirty = [self._checkpoint()]
         return self._close()
 
     def change(self, out: Collection[str] = ()) -> list[Effect]:
@@ -347,32 +349,32 @@
         out, self.out = self.out, []
         return out
 
-    def _say(self, to: str, what: Said) -> None:
+    def _say(self, to: str, what: RaftMessage) -> None:
         """At once: it rests on nothing that is not stored."""
         if to != self.me.name:
             self.out.append(Send(to, what))
 
-    def _promise(self, to: str, what: Said) -> None:
+    def _promise(self, to: str, what: RaftMessage) -> None:
         """Once all is stored that it rests on."""
         self.held.append(Send(to, what))
 
-    def _hard(self) -> Hard:
-        return Hard(self.reign, self.me, self.term, self.voted)
+    def _hard(self) -> HardState:
+        return HardState(self.epoch, self.me, self.term, self.voted)
 
-    def _whole(self) -> Whole:
-        return Whole(self._hard(), self.base, list(self.log))
+    def _checkpoint(self) -> Checkpoint:
+        return Checkpoint(self._hard(), self.base, list(self.log))
 
     def _rebased(self) -> None:
         self.commit = self.durable = self.base.index
         for one in self.unstored:
             one.last = 0
         self.configs = self._configs()
-        self.dirty = [self._whole()]
+        self.dirty = [self._checkpoint()]
 
-    def _adopt(self, reign: Reign) -> None:
+    def _adopt(self, epoch: Epoch) -> None:
         """A history begun by an operator's hand: what we hold belongs to one that is over."""
-        self.reign, self.term, self.voted = reign, 0, None
-        self.base, self.log = Base(), []
+        self.epoch, self.term, self.voted = epoch, 0, None
+        self.base, self.log = Snapshot(), []
         self._rebased()
         self.learners.clear()
         self._follow(None)
@@ -414,7 +416,7 @@
         asked = self.term + 1 if pre else self.term
         for voter in self.voters:
             if voter != self.me:
-                ask = Vote(self.reign, asked, self.me, self.last, self.term_at(self.last), pre)
+                ask = RequestVote(self.epoch, asked, self.me, self.last, self.term_at(self.last), pre)
                 (self._say if pre else self._promise)(voter.name, ask)
         self._count()
 
@@ -426,9 +428,9 @@
         elif not self.dirty and not self.unstored:  # our own vote counts once it is stored
             self._lead()
 
-    def _asked(self, m: Vote) -> None:
+    def _asked(self, m: RequestVote) -> None:
         if m.term < self.term or (m.pre and m.term == self.term):
-            self._promise(m.me.name, Voted(self.reign, self.term, self.me, False, m.pre))
+            self._promise(m.me.name, RequestVoteReply(self.epoch, self.term, self.me, False, m.pre))
             return
         fresh = (m.last_term, m.last) >= (self.term_at(self.last), self.last)
         votes = self.me in self.voters
@@ -441,9 +443,9 @@
                 self.voted = m.me
                 self.dirty.append(self._hard())
         term = m.term if granted else self.term
-        self._promise(m.me.name, Voted(self.reign, term, self.me, granted, m.pre))
+        self._promise(m.me.name, RequestVoteReply(self.epoch, term, self.me, granted, m.pre))
 
-    def _voted(self, m: Voted) -> None:
+    def _voted(self, m: RequestVoteReply) -> None:
         asked = self.term + 1 if self.pre else self.term
         if self.role is Role.CANDIDATE and m.granted and m.pre == self.pre and m.term == asked:
             self.votes.add(m.me)
@@ -474,7 +476,7 @@
     def _append(self, voter: Voter) -> None:
         progress = self.progress[voter]
         if progress.next <= self.base.index:
-            self._say(voter.name, Snap(self.reign, self.term, self.me, self.base))
+            self._say(voter.name, InstallSnapshot(self.epoch, self.term, self.me, self.base))
             progress.waiting = True
             return
         prev, size, entries = progress.next - 1, 0, list[Entry]()
@@ -484,13 +486,15 @@
             entries.append(entry)
             size += len(entry.data) + 16
         progress.waiting = bool(entries)
-        word = Append(self.reign, self.term, self.me, prev, self.term_at(prev), entries, self.commit)
-        self._say(voter.name, word)
+        message = AppendEntries(
+            self.epoch, self.term, self.me, prev, self.term_at(prev), entries, self.commit
+        )
+        self._say(voter.name, message)
 
-    def _heard(self, m: Append | Snap) -> bool:
+    def _heard(self, m: AppendEntries | InstallSnapshot) -> bool:
         """From the leader of a term that is not over."""
         if m.term < self.term:
-            self._promise(m.me.name, Appended(self.reign, self.term, self.me, False, 0))
+            self._promise(m.me.name, AppendEntriesReply(self.epoch, self.term, self.me, False, 0))
             return False
         if self.role is Role.CANDIDATE:
             self._follow(m.me.name)
@@ -498,7 +502,7 @@
         self._leader_is(m.me.name)
         return True
 
-    def _appending(self, m: Append) -> None:
+    def _appending(self, m: AppendEntries) -> None:
         if not self._heard(m):
             return
         prev, prev_term, entries = m.prev, m.prev_term, m.entries
@@ -506,7 +510,9 @@
             entries = entries[self.base.index - prev :]
             prev, prev_term = self.base.index, self.base.term
         if prev > self.last or self.term_at(prev) != prev_term:
-            self._promise(m.me.name, Appended(self.reign, self.term, self.me, False, self._hint(prev)))
+            self._promise(
+                m.me.name, AppendEntriesReply(self.epoch, self.term, self.me, False, self._hint(prev))
+            )
             return
         for n, entry in enumerate(entries):
             at = prev + 1 + n
@@ -515,7 +521,7 @@
                 break
         match = prev + len(entries)
         self._committed(min(m.commit, match))
-        self._promise(m.me.name, Appended(self.reign, self.term, self.me, True, match))
+        self._promise(m.me.name, AppendEntriesReply(self.epoch, self.term, self.me, True, match))
 
     def _hint(self, prev: int) -> int:
         """Where the leader should try next: before the term in which we differ, never before the base."""
@@ -526,7 +532,7 @@
             prev -= 1
         return prev
 
-    def _snapped(self, m: Snap) -> None:
+    def _snapped(self, m: InstallSnapshot) -> None:
         if not self._heard(m):
             return
         if m.base.index > self.commit:
@@ -535,11 +541,11 @@
             self.base, self.log = m.base, rest
             self._rebased()
             self._place()
-            self.out.append(Restore(m.base.index, m.base.book))
+            self.out.append(Restore(m.base.index, m.base.replicated))
         match = max(m.base.index, self.commit)
-        self._promise(m.me.name, Appended(self.reign, self.term, self.me, True, match))
+        self._promise(m.me.name, AppendEntriesReply(self.epoch, self.term, self.me, True, match))
 
-    def _appended(self, m: Appended) -> None:
+    def _appended(self, m: AppendEntriesReply) -> None:
         progress = self.progress.get(m.me)
         if self.role is not Role.LEADER or m.term != self.term or progress is None:
             return
--- a/arrowseam/agree/book.py
+++ b/arrowseam/agree/replicated.py
@@ -52,7 +52,7 @@
 
 
 class Grant(Command, frozen=True, tag=4):
-    """What was seen when it was proposed goes with it: the book reckons again."""
+    """What was seen when it was proposed goes with it: the replicated state reckons again."""
 
     what: str  # proxy or server
     subject: Thing
@@ -213,7 +213,7 @@
     """A command that changes nothing; the text says why."""
 
 
-class Book:
+class ReplicatedState:
     def __init__(self) -> None:
         self.state = State()
 
--- a/arrowseam/agree/storage.py
+++ b/arrowseam/agree/storage.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from arrowseam.agree.codec import Add, Base, Hard, Kept, Whole, encoder
+from arrowseam.agree.codec import Add, Checkpoint, HardState, Kept, Snapshot, encoder
 
 HEADER = b"arrowseam-agree 1\n"
 HEAD = 8
@@ -34,23 +34,23 @@
     """A state that is not taken; the message is one plain line."""
 
 
-def fold(records: Iterable[Kept]) -> Whole | None:
+def fold(records: Iterable[Kept]) -> Checkpoint | None:
     """What is held after these; None where nothing whole has been written. Raises Unfit."""
-    found: Whole | None = None
+    found: Checkpoint | None = None
     for record in records:
-        if isinstance(record, Whole):
+        if isinstance(record, Checkpoint):
             found = record
         elif found is None:
             if isinstance(record, Add):
                 raise Unfit("entries before any state")
-            found = Whole(record, Base(), [])
-        elif isinstance(record, Hard):
-            found = Whole(record, found.base, found.entries)
+            found = Checkpoint(record, Snapshot(), [])
+        elif isinstance(record, HardState):
+            found = Checkpoint(record, found.base, found.entries)
         else:
             at = record.index - found.base.index - 1
             if not 0 <= at <= len(found.entries):
                 raise Unfit(f"entry {record.index} does not follow")
-            found = Whole(found.hard, found.base, found.entries[:at] + record.entries)
+            found = Checkpoint(found.hard, found.base, found.entries[:at] + record.entries)
     return found
 
 
@@ -106,7 +106,7 @@
             raise
         self.file = -1
 
-    def load(self) -> Whole | None:
+    def load(self) -> Checkpoint | None:
         """What was kept, cut back to what is whole; raises Unfit or OSError."""
         try:
             fd = os.open(self.path, os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
@@ -139,7 +139,7 @@
 
     def write(self, records: list[Kept]) -> None:
         """All of these, synced; raises OSError. After an error nothing more may be written."""
-        at = max((n for n, record in enumerate(records) if isinstance(record, Whole)), default=-1)
+        at = max((n for n, record in enumerate(records) if isinstance(record, Checkpoint)), default=-1)
         if at >= 0:
             self.replace(records[at:])
             return
--- a/arrowseam/cli/release.py
+++ b/arrowseam/cli/release.py
@@ -40,7 +40,7 @@
     own = found[0]
     parts = [
         f"{own['name']}: {own['role']}, leader {own.get('leader') or 'none'}, term {own.get('term')}, "
-        f"reign {own.get('reign')}, entry {own.get('index')}; voters "
+        f"epoch {own.get('epoch', own.get('reign'))}, entry {own.get('index')}; voters "
         f"{', '.join(own.get('voters') or []) or 'none known here'} of {', '.join(own.get('wanted') or [])}"
     ]
     if own.get("broken"):
--- a/arrowseam/lab/agreed.py
+++ b/arrowseam/lab/agreed.py
@@ -23,20 +23,24 @@
     Check,
     Effect,
     Mark,
+    Message,
     Note,
     Out,
     Send,
     Spec,
-    Word,
 )
-from arrowseam.agree.book import (
+from arrowseam.agree.budgets import Budgets, Thing
+from arrowseam.agree.codec import Checkpoint, Epoch, Kept, Voter
+from arrowseam.agree.controller import Peer, Seen, Sight
+from arrowseam.agree.raft import Persist
+from arrowseam.agree.replicated import (
     Back,
-    Book,
     Business,
     Cancel,
     Drain,
     Grant,
     Plan,
+    ReplicatedState,
     Resume,
     Return,
     Safe,
@@ -45,10 +49,6 @@
     read,
     waves_of,
 )
-from arrowseam.agree.budgets import Budgets, Thing
-from arrowseam.agree.codec import Kept, Reign, Voter, Whole
-from arrowseam.agree.raft import Persist
-from arrowseam.agree.steward import Peer, Seen, Sight
 from arrowseam.agree.storage import fold
 from arrowseam.lab.queue import Queue
 
@@ -178,7 +178,7 @@
         if name in self.running:
             return
         self.lives += 1
-        kept: Whole | None = None
+        kept: Checkpoint | None = None
         if self.schedule.disk and name in self.voters:
             kept = fold(self.disks[name].synced)
         spec = replace(self.spec, budgets=self.budgets.get(name, self.spec.budgets))
@@ -261,8 +261,8 @@
 
     def _do(self, process: Process, effect: Effect) -> None:
         match effect:
-            case Send(to, word):
-                self._send(process.name, to, word)
+            case Send(to, message):
+                self._send(process.name, to, message)
             case Persist(token, what):
                 self._persist(process, token, what)
             case Act():
@@ -312,11 +312,11 @@
                 written = disk.pending[0][1]
                 self.referee.synced(process, written)
                 if self.storing == "forgets votes":  # planted: terms and votes stay in memory
-                    written = tuple(k for k in written if not isinstance(k, codec.Hard))
+                    written = tuple(k for k in written if not isinstance(k, codec.HardState))
                 disk.synced += written
                 disk.pending.pop(0)
-                if any(isinstance(k, Whole) for k in disk.synced[:-1]):
-                    last = max(n for n, k in enumerate(disk.synced) if isinstance(k, Whole))
+                if any(isinstance(k, Checkpoint) for k in disk.synced[:-1]):
+                    last = max(n for n, k in enumerate(disk.synced) if isinstance(k, Checkpoint))
                     disk.synced = disk.synced[last:]
                 if self.storing != "unsynced":
                     self._event(process, lambda: process.agent.stored(self.now, self.wall_ms, token))
@@ -423,7 +423,7 @@
     def _open(self, one: str, other: str) -> bool:
         return (one, other) not in self.cut
 
-    def _send(self, one: str, to: str, word: Word) -> None:
+    def _send(self, one: str, to: str, message: Message) -> None:
         self.sent += 1
         for _ in range(1 + (self.rnd.random() < self.doubled)):
             if not self._open(one, to) or self.rnd.random() < self.loss:
@@ -431,12 +431,12 @@
             late = self.rnd.randint(200, 3 * MS)
             if self.rnd.random() < self.doubled:
                 late += int(self.rnd.random() * 4 * SECOND)
-            self.at(self.now + late, lambda: self._arrive(to, word))
+            self.at(self.now + late, lambda: self._arrive(to, message))
 
-    def _arrive(self, to: str, word: Word) -> None:
+    def _arrive(self, to: str, message: Message) -> None:
         process = self.running.get(to)
         if process is not None:
-            self._event(process, lambda: process.agent.message(self.now, self.wall_ms, word))
+            self._event(process, lambda: process.agent.message(self.now, self.wall_ms, message))
 
     def part(self, some: list[str], one_way: bool = False) -> set[tuple[str, str]]:
         rest = [n for n in self.names if n not in some]
@@ -474,8 +474,8 @@
 
     def step(self, step: Step) -> None:
         one = step.who[0]
-        book = self.referee.latest()
-        release = max(book.state.releases, default=0)
+        replicated = self.referee.latest()
+        release = max(replicated.state.releases, default=0)
         match step.what:
             case "crash" | "forget" | "torn":
                 self.kill(one, step.what)
@@ -507,8 +507,8 @@
             case "undrain":
                 self.say(one, Undrain(server=step.text, by=one))
             case "release" | "restart":
-                word = step.text if step.number != 0.5 else "breaks"
-                bundle = f"{word}:{step.at}".encode() if step.what == "release" else b""
+                message = step.text if step.number != 0.5 else "breaks"
+                bundle = f"{message}:{step.at}".encode() if step.what == "release" else b""
                 kind = "settings" if bundle else "restart"
                 plan = Plan(kind=kind, bundle=bundle, waves=waves_of(self.names), soak_s=0.5,
                             patience_s=20.0, gated=False, by=one)  # fmt: skip
@@ -537,7 +537,7 @@
 
     def _start_planned(self, one: str) -> None:
         process = self.running.get(one)
-        release = process.agent.book.release if process is not None else None
+        release = process.agent.replicated.release if process is not None else None
         if release is not None and release.state == "planned":
             self.say(one, Start(release=release.id, by=one))
 
@@ -561,26 +561,26 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.broken: dict[str, None] = {}
-        self.leaders: dict[tuple[Reign, int], Voter] = {}
-        self.entries: dict[tuple[Reign, int], codec.Entry] = {}
-        self.books: dict[tuple[Reign, int], bytes] = {}
-        self.book = Book()  # our own, of all that has been committed in the reign in force
-        self.reign = Reign()
+        self.leaders: dict[tuple[Epoch, int], Voter] = {}
+        self.entries: dict[tuple[Epoch, int], codec.Entry] = {}
+        self.states: dict[tuple[Epoch, int], bytes] = {}
+        self.replicated = ReplicatedState()  # our own, of all that has been committed in the epoch in force
+        self.epoch = Epoch()
         self.out: dict[str, int] = {}  # proxy -> the permit under which it is out
         self.halted: dict[int, tuple[int, str]] = {}  # release -> when an operator said so, and where
-        self.used: set[tuple[Reign, int, str, int]] = set()
+        self.used: set[tuple[Epoch, int, str, int]] = set()
         self.counts: Counter[str] = Counter()
-        self.votes: dict[tuple[Voter, Reign, int], set[Voter]] = {}
-        self.held: dict[tuple[Voter, Reign, int], codec.Entry] = {}
-        self.bases: dict[tuple[Voter, Reign], int] = {}
-        self.reign_of: dict[Voter, Reign] = {}
+        self.votes: dict[tuple[Voter, Epoch, int], set[Voter]] = {}
+        self.held: dict[tuple[Voter, Epoch, int], codec.Entry] = {}
+        self.bases: dict[tuple[Voter, Epoch], int] = {}
+        self.epoch_of: dict[Voter, Epoch] = {}
         self.peak = 0
 
     def fault(self, text: str) -> None:
         self.broken.setdefault(text)
 
-    def latest(self) -> Book:
-        return self.book
+    def latest(self) -> ReplicatedState:
+        return self.replicated
 
     # --- what is committed, as each voter hears it ----------------------------------------------------------
 
@@ -590,8 +590,8 @@
         def heard(index: int, entry: codec.Entry) -> None:
             assert agent.node is not None
             if agent.node.base.index:
-                self._begun(agent.node.reign, agent.node.base)
-            self._committed(agent, agent.node.reign, index, entry)
+                self._begun(agent.node.epoch, agent.node.base)
+            self._committed(agent, agent.node.epoch, index, entry)
             take(index, entry)
 
         agent._commit = heard  # type: ignore[method-assign]
@@ -601,24 +601,24 @@
         node = process.agent.node
         assert node is not None
         for record in what:
-            hard = record.hard if isinstance(record, Whole) else record
-            if isinstance(hard, codec.Hard):
-                self.reign_of[node.me] = hard.reign
+            hard = record.hard if isinstance(record, Checkpoint) else record
+            if isinstance(hard, codec.HardState):
+                self.epoch_of[node.me] = hard.epoch
                 if hard.voted is not None:
-                    votes = self.votes.setdefault((node.me, hard.reign, hard.term), set())
+                    votes = self.votes.setdefault((node.me, hard.epoch, hard.term), set())
                     votes.add(hard.voted)
                     if len(votes) > 1:
                         self.fault(f"{node.me.name} has voted twice in term {hard.term}")
-            reign = self.reign_of.get(node.me, Reign())
-            if isinstance(record, Whole):
-                self.bases[node.me, reign] = max(self.bases.get((node.me, reign), 0), record.base.index)
+            epoch = self.epoch_of.get(node.me, Epoch())
+            if isinstance(record, Checkpoint):
+                self.bases[node.me, epoch] = max(self.bases.get((node.me, epoch), 0), record.base.index)
                 rows = enumerate(record.entries, record.base.index + 1)
             elif isinstance(record, codec.Add):
                 rows = enumerate(record.entries, record.index)
             else:
                 continue
             for index, entry in rows:
-                self.held[node.me, reign, index] = entry
+                self.held[node.me, epoch, index] = entry
 
     def heard(self, release: int) -> None:
         """A halt said ``HALTS`` ago is known to all that could be reached since."""
@@ -636,68 +636,68 @@
         agent = process.agent
         node = agent.node
         if node is not None and agent.leads:
-            key = node.reign, node.term
+            key = node.epoch, node.term
             known = self.leaders.get(key)
             if known is None:
                 self.leaders[key] = node.me
-                self._elected(node.reign, node.term, node.me, node.voters)
+                self._elected(node.epoch, node.term, node.me, node.voters)
             elif known != node.me:
                 self.fault(f"two leaders of one term: {known.name} and {node.me.name}")
         if node is not None and node.base.index:
-            self._begun(node.reign, node.base)
-        self._same_book(agent)
-
-    def _begun(self, reign: Reign, base: codec.Base) -> None:
-        """A reign begins with a book that nobody has committed in it."""
-        if reign > self.reign:
-            self.reign = reign
-            self.book = Book()
-            self.book.load(base.index, base.book)
-            self.out = {n: p for n, p in self.out.items() if p in self.book.state.permits}
-
-    def _same_book(self, agent: Agent) -> None:
-        key = agent.reign, agent.book.index
-        if not agent.book.index:
+            self._begun(node.epoch, node.base)
+        self._same_state(agent)
+
+    def _begun(self, epoch: Epoch, base: codec.Snapshot) -> None:
+        """A epoch begins with a replicated state that nobody has committed in it."""
+        if epoch > self.epoch:
+            self.epoch = epoch
+            self.replicated = ReplicatedState()
+            self.replicated.load(base.index, base.replicated)
+            self.out = {n: p for n, p in self.out.items() if p in self.replicated.state.permits}
+
+    def _same_state(self, agent: Agent) -> None:
+        key = agent.epoch, agent.replicated.index
+        if not agent.replicated.index:
             return
-        data = agent.book.save()
-        if self.books.setdefault(key, data) != data:
+        data = agent.replicated.save()
+        if self.states.setdefault(key, data) != data:
             self.fault(f"two books at entry {key[1]}")
 
-    def _elected(self, reign: Reign, term: int, who: Voter, voters: tuple[Voter, ...]) -> None:
+    def _elected(self, epoch: Epoch, term: int, who: Voter, voters: tuple[Voter, ...]) -> None:
         """A majority of the voters has its vote on the disk (where there are disks)."""
         if not self.world.schedule.disk:
             return
-        given = sum(who in self.votes.get((voter, reign, term), ()) for voter in voters)
+        given = sum(who in self.votes.get((voter, epoch, term), ()) for voter in voters)
         if 2 * given <= len(voters):
             self.fault(f"{who.name} leads term {term} with {given} votes of {len(voters)} stored")
 
-    def _committed(self, agent: Agent, reign: Reign, index: int, entry: codec.Entry) -> None:
-        known = self.entries.get((reign, index))
+    def _committed(self, agent: Agent, epoch: Epoch, index: int, entry: codec.Entry) -> None:
+        known = self.entries.get((epoch, index))
         if known is not None:
             if known != entry:
                 self.fault(f"two entries committed at {index}")
             return
-        self.entries[reign, index] = entry
+        self.entries[epoch, index] = entry
         node = agent.node
         assert node is not None
         if self.world.schedule.disk:
-            self._stored(node.voters, reign, index, entry)
-        if reign == self.reign and index == self.book.index + 1:
+            self._stored(node.voters, epoch, index, entry)
+        if epoch == self.epoch and index == self.replicated.index + 1:
             command = None
             if entry.kind == codec.COMMAND:
-                decision = self.book.apply(index, entry.data)
+                decision = self.replicated.apply(index, entry.data)
                 command = read(entry.data)
                 if decision is not None and not decision.refused and command is not None:
                     self._decided(command)
             else:
-                self.book.state.index = index
-            held = self.books.setdefault((reign, index), self.book.save())
-            if held != self.book.save():
+                self.replicated.state.index = index
+            held = self.states.setdefault((epoch, index), self.replicated.save())
+            if held != self.replicated.save():
                 self.fault(f"two books at entry {index}")
 
-    def _stored(self, voters: tuple[Voter, ...], reign: Reign, index: int, entry: codec.Entry) -> None:
+    def _stored(self, voters: tuple[Voter, ...], epoch: Epoch, index: int, entry: codec.Entry) -> None:
         have = sum(
-            self.held.get((v, reign, index)) == entry or self.bases.get((v, reign), 0) >= index
+            self.held.get((v, epoch, index)) == entry or self.bases.get((v, epoch), 0) >= index
             for v in voters
         )
         if 2 * have <= len(voters):
@@ -706,7 +706,7 @@
     def _decided(self, command: Business) -> None:
         """An accepted command, in the order of the log: what a simple counting says of it."""
         self.counts[type(command).__name__.lower()] += 1
-        state = self.book.state
+        state = self.replicated.state
         if isinstance(command, Grant):
             kind = command.what
             planned = [p for p in state.permits.values() if p.what == kind]
@@ -755,9 +755,9 @@
     def begins(self, process: Process, act: Act) -> None:
         if not act.permit:
             return
-        permit = self.book.state.permits.get(act.permit)
-        key = self.reign, act.permit, process.name, process.life
-        if process.agent.reign != self.reign:
+        permit = self.replicated.state.permits.get(act.permit)
+        key = self.epoch, act.permit, process.name, process.life
+        if process.agent.epoch != self.epoch:
             return  # what an operator's reset left behind
         if permit is None or permit.thing.name != process.name:
             self.fault(f"{process.name} goes out without a permit")
@@ -766,7 +766,7 @@
             self.fault(f"{process.name} uses a permit twice")
         if process.life < permit.life:
             self.fault(f"{process.name}: a former life uses a permit")
-        release = self.book.state.releases.get(permit.release)
+        release = self.replicated.state.releases.get(permit.release)
         if release is not None:
             mark = process.marks.get(release.id, (0, ""))
             if mark > (release.stamp, release.stamp_by):
@@ -826,7 +826,7 @@
             world.referee.fault("decided without a quorum")
         best = max(
             (p.agent for p in world.running.values() if p.agent.node is not None),
-            key=lambda a: (a.reign, a.book.index),
+            key=lambda a: (a.epoch, a.replicated.index),
         )
         world.reset(best.name)
     settled = world.until(lambda: finished(world), 90 * SECOND, 200 * MS)
@@ -839,8 +839,8 @@
     """Whether no majority of the voters of any configuration that could decide has its state: an operator has
     to say ``agree reset``."""
     voters = [p.agent.node for p in world.running.values() if p.agent.node is not None]
-    best = max((n.reign for n in voters), default=Reign())
-    inside = [n for n in voters if n.reign == best and n.me in n.voters]
+    best = max((n.epoch for n in voters), default=Epoch())
+    inside = [n for n in voters if n.epoch == best and n.me in n.voters]
     return not any(2 * sum(other.me in n.voters for other in inside) > len(n.voters) for n in inside)
 
 
@@ -848,27 +848,27 @@
     leaders = [p.agent for p in world.running.values() if p.agent.leads]
     if not leaders:
         return "no leader"
-    agent = max(leaders, key=lambda a: (a.reign, a.node.term if a.node else 0))
-    book, steward = agent.book, agent.steward
+    agent = max(leaders, key=lambda a: (a.epoch, a.node.term if a.node else 0))
+    replicated, controller = agent.replicated, agent.controller
     names = {n for n in world.running}
     for process in world.running.values():
-        if process.agent.book.index != book.index or process.agent.reign != agent.reign:
-            return f"{process.name} is behind: {process.agent.book.index} of {book.index}"
-        targets = process.agent.book.state.targets
+        if process.agent.replicated.index != replicated.index or process.agent.epoch != agent.epoch:
+            return f"{process.name} is behind: {process.agent.replicated.index} of {replicated.index}"
+        targets = process.agent.replicated.state.targets
         if targets.get(process.name, process.digest) != process.digest and not process.agent.refused:
             return f"{process.name} runs with {process.digest or 'its file'}"
     if agent.node is not None and {v.name for v in agent.node.voters} != set(world.voters):
         return "voters are missing"
-    if set(book.state.budgets) != set(world.voters):
+    if set(replicated.state.budgets) != set(world.voters):
         return "budgets are missing"
-    why = steward.why if steward is not None else ""
-    for permit in book.state.permits.values():
+    why = controller.why if controller is not None else ""
+    for permit in replicated.state.permits.values():
         if permit.what == "proxy" or not permit.safe:
             return f"permit of {permit.thing.name}: {why}"
-    release = book.release
+    release = replicated.release
     if release is not None and release.state in ("running", "backing"):
         return f"release {release.id} is {release.state}: {why}"
-    if book.state.wants and not any(p.what == "server" for p in book.state.permits.values()):
+    if replicated.state.wants and not any(p.what == "server" for p in replicated.state.permits.values()):
         return f"drains wait: {why}"
     return "" if names == set(world.names) else "processes are missing"
 
--- a/arrowseam/lab/agreed_stage.py
+++ b/arrowseam/lab/agreed_stage.py
@@ -21,7 +21,7 @@
 KINDS = dict.fromkeys(ORDERS, "one")
 FAULTS = ("kill", "restart", "restart", "stall", "part", "part", "one way", "loss", "slow")
 PROXIES, SERVERS = 2, 1  # the budgets
-FOLLOW = 30.0  # seconds after the last fault by which all have the same book
+FOLLOW = 30.0  # seconds after the last fault by which all have the same replicated state
 END = 60.0  # and by which a release that goes on is over or halted
 BUDGETS = f"budgets(proxies = {PROXIES}, servers = {SERVERS}, least_ready = 0.3)\n"
 OVER = ("planned", "done", "back", "cancelled", "halted")
@@ -62,12 +62,12 @@
 
     def ready(self) -> None:
         rig = self.rig
-        rig.until(lambda: rig.book("n0").get("role") == "out", 15)
+        rig.until(lambda: rig.replicated("n0").get("role") == "out", 15)
         rig.ordered("n0", "agree reset")
-        rig.until(self._whole, 30)
+        rig.until(self._checkpoint, 30)
 
-    def _whole(self) -> bool:
-        rows = [self.rig.book(name) for name in self.rig.processes]
+    def _checkpoint(self) -> bool:
+        rows = [self.rig.replicated(name) for name in self.rig.processes]
         leads = [row for row in rows if row.get("role") == "leader"]
         same = len({row.get("index") for row in rows}) == 1
         return same and len(leads) == 1 and len(leads[0]["voters"]) == 3
@@ -120,7 +120,7 @@
 
     def _same(self) -> bool:
         self.rig.adopt()
-        rows = [self.rig.book(name) for name in self.rig.processes]
+        rows = [self.rig.replicated(name) for name in self.rig.processes]
         alive = sum(name in self.rig.processes for name in self.rig.names[:3])
         if alive < 2:
             return True  # no quorum is left: nothing more is agreed
@@ -130,7 +130,7 @@
         self.rig.adopt()
         alive = sum(name in self.rig.processes for name in self.rig.names[:3])
         name = next(iter(self.rig.processes))
-        states = [row["state"] for row in self.rig.book(name)["releases"].values()]
+        states = [row["state"] for row in self.rig.replicated(name)["releases"].values()]
         return alive < 2 or all(state in OVER for state in states)
 
     def judge(self) -> None:
--- a/arrowseam/lab/explored.py
+++ b/arrowseam/lab/explored.py
@@ -14,11 +14,21 @@
 from typing import Any
 
 from arrowseam.agree import raft
-from arrowseam.agree.codec import COMMAND, Base, Entry, Hard, Kept, Reign, Said, Voter, Whole
+from arrowseam.agree.codec import (
+    COMMAND,
+    Checkpoint,
+    Entry,
+    Epoch,
+    HardState,
+    Kept,
+    RaftMessage,
+    Snapshot,
+    Voter,
+)
 from arrowseam.agree.raft import Node, Role
 from arrowseam.agree.storage import fold
 
-REIGN = Reign(1, 1)
+EPOCH = Epoch(1, 1)
 WEIGHTS = {"deliver": 6.0, "sync": 6.0, "elapsed": 1.0, "propose": 2.0, "crash": 0.4}  # of a walk
 
 
@@ -27,7 +37,7 @@
     nodes: dict[str, Node]
     disks: dict[str, list[Kept]]
     pending: dict[str, list[tuple[int, tuple[Kept, ...]]]]
-    flying: list[tuple[str, Said]] = field(default_factory=list)
+    flying: list[tuple[str, RaftMessage]] = field(default_factory=list)
     leaders: dict[int, str] = field(default_factory=dict)  # by term
     committed: dict[int, Entry] = field(default_factory=dict)
     proposed: int = 0
@@ -85,9 +95,9 @@
         """A leader of a term, a, has just been elected; ``uneven``: c has an entry of an older term."""
         state = State({}, {name: [] for name in self.names}, {name: [] for name in self.names})
         for voter in self.voters:
-            base = Base(1, 0, self.voters)
+            base = Snapshot(1, 0, self.voters)
             entries = [Entry(1, COMMAND, b"old")] if uneven and voter.name != "a" else []
-            whole = Whole(Hard(REIGN, voter, term, None), base, entries)
+            whole = Checkpoint(HardState(EPOCH, voter, term, None), base, entries)
             state.disks[voter.name] = [whole]
             state.nodes[voter.name] = self.kind(voter, whole, self.names)
         return state
@@ -128,11 +138,11 @@
         state = before.clone()
         match what:
             case "deliver":
-                to, word = state.flying.pop(which)
-                self._do(state, to, state.nodes[to].message(word))
+                to, message = state.flying.pop(which)
+                self._do(state, to, state.nodes[to].message(message))
             case "sync":
                 token, records = state.pending[which].pop(0)
-                state.disks[which] += [k for k in records if not (self.forgets and isinstance(k, Hard))]
+                state.disks[which] += [k for k in records if not (self.forgets and isinstance(k, HardState))]
                 self._do(state, which, state.nodes[which].stored(token))
             case "elapsed":
                 self._do(state, which, state.nodes[which].elapsed())
--- a/arrowseam/lab/planted_agree.py
+++ b/arrowseam/lab/planted_agree.py
@@ -12,11 +12,19 @@
 
 from arrowseam.agree import raft
 from arrowseam.agree.agent import Agent, Effect
-from arrowseam.agree.book import Book, Business, Grant, Halt, Permit, Release, Return
 from arrowseam.agree.budgets import Thing
-from arrowseam.agree.codec import Append, Appended, Reign, Said, Vote, Voted, Voter
+from arrowseam.agree.codec import (
+    AppendEntries,
+    AppendEntriesReply,
+    Epoch,
+    RaftMessage,
+    RequestVote,
+    RequestVoteReply,
+    Voter,
+)
+from arrowseam.agree.controller import Controller, Report, Sight
 from arrowseam.agree.raft import Node, Role
-from arrowseam.agree.steward import Report, Sight, Steward
+from arrowseam.agree.replicated import Business, Grant, Halt, Permit, Release, ReplicatedState, Return
 
 # --- the log ------------------------------------------------------------------------------------------------
 
@@ -45,7 +53,7 @@
 class AnswersEarly(Node):
     """Votes and acknowledgements go out before what they rest on is stored."""
 
-    def _promise(self, to: str, what: Said) -> None:
+    def _promise(self, to: str, what: RaftMessage) -> None:
         self._say(to, what)
 
 
@@ -55,14 +63,14 @@
     def __init__(self, me: Voter, *rest: Any) -> None:
         super().__init__(Voter(me.name, 1), *rest)
 
-    def _asked(self, m: Vote) -> None:
+    def _asked(self, m: RequestVote) -> None:
         if self.role is Role.OUT:  # it believes to be a voter still
             granted = not m.pre and self.voted in (None, m.me)
             granted = granted or m.pre
             if granted and not m.pre:
                 self.voted = m.me
                 self.dirty.append(self._hard())
-            self._promise(m.me.name, Voted(self.reign, m.term, self.me, granted, m.pre))
+            self._promise(m.me.name, RequestVoteReply(self.epoch, m.term, self.me, granted, m.pre))
             return
         super()._asked(m)
 
@@ -70,7 +78,7 @@
 class VotesTwice(Node):
     """A vote given in a term does not keep from giving another."""
 
-    def _asked(self, m: Vote) -> None:
+    def _asked(self, m: RequestVote) -> None:
         if not m.pre and m.term == self.term:
             self.voted = None
         super()._asked(m)
@@ -79,7 +87,7 @@
 class StaleVotes(Node):
     """A vote is given to whoever asks, however little it has."""
 
-    def _asked(self, m: Vote) -> None:
+    def _asked(self, m: RequestVote) -> None:
         super()._asked(msgspec.structs.replace(m, last=1 << 40, last_term=1 << 40))
 
 
@@ -94,15 +102,15 @@
 class KeepsWhatDiffers(Node):
     """A follower keeps its own entries where the leader's differ."""
 
-    def _appending(self, m: Append) -> None:
-        if m.reign == self.reign and m.prev < self.last:
+    def _appending(self, m: AppendEntries) -> None:
+        if m.epoch == self.epoch and m.prev < self.last:
             fresh = m.entries[max(0, self.last - m.prev) :]
             if self._heard(m):
                 if fresh:
                     self._add(self.last + 1, fresh)
                 match = m.prev + len(m.entries)
                 self._committed(min(m.commit, match, self.last))
-                self._promise(m.me.name, Appended(self.reign, self.term, self.me, True, match))
+                self._promise(m.me.name, AppendEntriesReply(self.epoch, self.term, self.me, True, match))
             return
         super()._appending(m)
 
@@ -114,19 +122,19 @@
         return 2 * len(who.intersection(self.voters)) >= len(self.voters)
 
 
-class OldReignGoesOn(Node):
+class OldEpochGoesOn(Node):
     """A history begun by hand is not preferred to the one before."""
 
-    def message(self, m: Said) -> list[raft.Effect]:
-        if m.reign != self.reign and self.reign != Reign():
-            m = msgspec.structs.replace(m, reign=self.reign)
+    def message(self, m: RaftMessage) -> list[raft.Effect]:
+        if m.epoch != self.epoch and self.epoch != Epoch():
+            m = msgspec.structs.replace(m, epoch=self.epoch)
         return super().message(m)
 
 
-# --- the book and the steward -------------------------------------------------------------------------------
+# --- the replicated state and the controller --------------------------------------------------------------
 
 
-class SnapshotLosesPermits(Book):
+class SnapshotLosesPermits(ReplicatedState):
     def save(self) -> bytes:
         held, self.state.permits = self.state.permits, {}
         try:
@@ -135,7 +143,7 @@
             self.state.permits = held
 
 
-class BudgetNotReckonedAgain(Book):
+class BudgetNotReckonedAgain(ReplicatedState):
     """What the leader proposed is taken as it is."""
 
     def _grant(self, index: int, c: Grant) -> str:
@@ -149,15 +157,15 @@
             self.state.budgets = budgets
 
 
-class GrantsWithoutLooking(Steward):
-    """Goes by the wants alone; the book is left to refuse."""
+class GrantsWithoutLooking(Controller):
+    """Goes by the wants alone; the replicated state is left to refuse."""
 
     @staticmethod
     def missing_proxies(sight: Sight) -> tuple[Thing, ...]:
         return ()
 
 
-class FailureNotCounted(Steward):
+class FailureNotCounted(Controller):
     """Servers that are down by themselves are not counted."""
 
     @staticmethod
@@ -165,7 +173,7 @@
         return ()
 
 
-class PermitFreedByTime(Steward):
+class PermitFreedByTime(Controller):
     """Who has been out for three seconds is taken for back."""
 
     def _ended(self, permit: Permit, reports: Mapping[str, tuple[int, Report]]) -> Business | None:
@@ -180,22 +188,26 @@
         return super().decide(now, *rest)
 
 
-class LeaderIgnoresHalts(Steward):
-    def _halts(self, now: int, book: Book, release: Release, sight: Sight, *rest: Any) -> str:
+class LeaderIgnoresHalts(Controller):
+    def _halts(
+        self, now: int, replicated: ReplicatedState, release: Release, sight: Sight, *rest: Any
+    ) -> str:
         blind = Sight(sight.proxies, sight.servers, sight.configured, sight.agrees, {})
-        return super()._halts(now, book, release, blind, *rest)
+        return super()._halts(now, replicated, release, blind, *rest)
 
 
-class EmptyByDefault(Steward):
+class EmptyByDefault(Controller):
     """Who says nothing of a server is taken to hold nothing there."""
 
-    def _safe(self, now: int, permit: Permit, book: Book, sight: Sight, reports: Any) -> Business | None:
+    def _safe(
+        self, now: int, permit: Permit, replicated: ReplicatedState, sight: Sight, reports: Any
+    ) -> Business | None:
         server, told = permit.thing.name, {}
         for name, (at, report) in reports.items():
             if server not in report.standing:
                 report = msgspec.structs.replace(report, index=1 << 40, standing={server: 0})
             told[name] = at, report
-        return super()._safe(now, permit, book, sight, told)
+        return super()._safe(now, permit, replicated, sight, told)
 
 
 # --- the holder ---------------------------------------------------------------------------------------------
@@ -216,7 +228,7 @@
     """A life that has started since goes out once more."""
 
     def _begin(self, number: int) -> None:
-        permit = self.book.state.permits[number]
+        permit = self.replicated.state.permits[number]
         life, self.life = self.life, permit.life
         try:
             super()._begin(number)
@@ -242,21 +254,23 @@
 
 
 def made_of(
-    node: type[Node] | None = None, book: type[Book] | None = None, steward: type[Steward] | None = None
+    node: type[Node] | None = None,
+    replicated: type[ReplicatedState] | None = None,
+    controller: type[Controller] | None = None,
 ) -> type[Agent]:
     """An agent with one of its parts replaced."""
-    fields: dict[str, Any] = {"node_kind": node, "book_kind": book, "steward_kind": steward}
-    kind = node or book or steward
+    fields: dict[str, Any] = {"node_kind": node, "state_kind": replicated, "controller_kind": controller}
+    kind = node or replicated or controller
     assert kind is not None
     return type(kind.__name__, (Agent,), {key: value for key, value in fields.items() if value is not None})
 
 
 NODES: tuple[type[Node], ...] = (
     OldTermCounted, CountsItselfEarly, AnswersEarly, ForgottenVotes, VotesTwice, StaleVotes,
-    ManyChangesAtOnce, KeepsWhatDiffers, MinorityCommits, OldReignGoesOn,
+    ManyChangesAtOnce, KeepsWhatDiffers, MinorityCommits, OldEpochGoesOn,
 )  # fmt: skip
-BOOKS: tuple[type[Book], ...] = (SnapshotLosesPermits, BudgetNotReckonedAgain)
-STEWARDS: tuple[type[Steward], ...] = (
+STATES: tuple[type[ReplicatedState], ...] = (SnapshotLosesPermits, BudgetNotReckonedAgain)
+CONTROLLERS: tuple[type[Controller], ...] = (
     GrantsWithoutLooking, FailureNotCounted, PermitFreedByTime, LeaderIgnoresHalts, EmptyByDefault,
 )  # fmt: skip
 AGENTS: tuple[type[Agent], ...] = (
@@ -268,7 +282,7 @@
 def agents() -> list[tuple[str, type[Agent], str]]:
     """All of them: name, agent, and how its disk fails it."""
     found = [(kind.__name__, made_of(node=kind), "") for kind in NODES]
-    found += [(kind.__name__, made_of(book=kind), "") for kind in BOOKS]
-    found += [(kind.__name__, made_of(steward=kind), "") for kind in STEWARDS]
+    found += [(kind.__name__, made_of(replicated=kind), "") for kind in STATES]
+    found += [(kind.__name__, made_of(controller=kind), "") for kind in CONTROLLERS]
     found += [(kind.__name__, kind, "") for kind in AGENTS]
     return found + [(f"disk {how}", Agent, how) for how in STORING]
--- a/arrowseam/lab/rig.py
+++ b/arrowseam/lab/rig.py
@@ -283,7 +283,7 @@
     def agreement(self, name: str) -> list[dict[str, Any]]:
         return [json.loads(line) for line in self.call(name, "agree")[:-1]]
 
-    def book(self, name: str) -> dict[str, Any]:
+    def replicated(self, name: str) -> dict[str, Any]:
         """What one proxy has of the agreement: its first row, and the rest by kind."""
         rows = self.agreement(name)
         found: dict[str, Any] = rows[0] if rows else {}
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -148,8 +148,8 @@
     )
 
 
-def _whole(rig: Rig) -> bool:
-    rows = [rig.book(name) for name in rig.processes]
+def _checkpoint(rig: Rig) -> bool:
+    rows = [rig.replicated(name) for name in rig.processes]
     leads = [row for row in rows if row.get("role") == "leader"]
     return len(leads) == 1 and len(leads[0]["voters"]) == 3 and len({row.get("index") for row in rows}) == 1
 
@@ -173,9 +173,9 @@
                 rig.start()
                 rig.until(lambda rig=rig: rig.agreed(rig.names), 60)
                 if voters:
-                    rig.until(lambda rig=rig: rig.book("n0").get("role") == "out", 10)
+                    rig.until(lambda rig=rig: rig.replicated("n0").get("role") == "out", 10)
                     rig.ordered("n0", "agree reset")
-                    took = rig.until(lambda rig=rig: _whole(rig), 30)
+                    took = rig.until(lambda rig=rig: _checkpoint(rig), 30)
                     print(f"{members} proxies, 3 voters: agreed after {took:.1f} s")
                 rig.run(3)
                 print(f"at rest, {'with' if voters else 'without'} the agreement: {_rest(rig)}")
@@ -188,12 +188,12 @@
 def _rounds(rig: Rig, rounds: int, rnd: random.Random) -> None:
     leaders, stops = [], []
     for turn in range(rounds):
-        leader = rig.book("n0")["leader"]
+        leader = rig.replicated("n0")["leader"]
         rig.kill([leader])
         others = [n for n in rig.names[:3] if n != leader]
-        leaders.append(rig.until(lambda o=others: any(rig.book(n)["leader"] in o for n in o), 20, 0.02))
+        leaders.append(rig.until(lambda o=others: any(rig.replicated(n)["leader"] in o for n in o), 20, 0.02))
         rig.start([leader])
-        rig.until(lambda: rig.agreed(rig.names) and _whole(rig), 30)
+        rig.until(lambda: rig.agreed(rig.names) and _checkpoint(rig), 30)
         settings = {"settings": {"lanes": [
             {"aim": 300000, "deadline": 1_700_000 - turn, "effect": "retryable", "name": "tech"},
             {"aim": 300000, "deadline": 600000, "effect": "retryable", "name": "resident"}]}}  # fmt: skip
@@ -204,7 +204,7 @@
         rig.until(
             lambda: any(
                 "new" in r["members"].values()
-                for r in rig.book("n0")["releases"].values()
+                for r in rig.replicated("n0")["releases"].values()
                 if r["state"] == "running"
             ),
             20,
@@ -230,7 +230,7 @@
 
 
 def _halted(rig: Rig, name: str) -> bool:
-    return any(r["halted"] for r in rig.book(name)["releases"].values() if r["state"] != "cancelled")
+    return any(r["halted"] for r in rig.replicated(name)["releases"].values() if r["state"] != "cancelled")
 
 
 def played(job: tuple[int, int, int | None]) -> tuple[int, list[str], float | None, int]:
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -1,5 +1,5 @@
-"""The agreement without a socket: the log, the book, budgets, gates, storage, and whole fleets on a virtual
-clock under faults, judged by what came out."""
+"""The agreement without a socket: the log, the replicated state, budgets, gates, storage, and whole fleets on
+a virtual clock under faults, judged by what came out."""
 
 from __future__ import annotations
 
@@ -13,12 +13,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from arrowseam.agree import agent, book, codec, gates, storage
-from arrowseam.agree.book import Book, Drain, Grant, Halt, Limit, Plan, Resume, Return, Start, waves_of
+from arrowseam.agree import agent, codec, gates, replicated, storage
 from arrowseam.agree.budgets import Budgets, Thing, group, refuses
-from arrowseam.agree.codec import Add, Base, Entry, Hard, Reign, Voter, Whole
+from arrowseam.agree.codec import Add, Checkpoint, Entry, Epoch, HardState, Snapshot, Voter
+from arrowseam.agree.controller import Controller, Report, Sight
 from arrowseam.agree.raft import Node, Persist, Role, Send
-from arrowseam.agree.steward import Report, Sight, Steward
+from arrowseam.agree.replicated import (
+    Drain,
+    Grant,
+    Halt,
+    Limit,
+    Plan,
+    ReplicatedState,
+    Resume,
+    Return,
+    Start,
+    waves_of,
+)
 from arrowseam.lab import agreed, explored, gated, planted_agree
 from arrowseam.lab.agreed import Schedule, Step
 
@@ -57,18 +68,18 @@
     assert refuses(budgets, what, THINGS[0], {THINGS[n].name: THINGS[n] for n in out}, WHOLE) == why
 
 
-# --- the book -----------------------------------------------------------------------------------------------
+# --- the replicated state ---------------------------------------------------------------------------------
 
 
-def put(held: Book, command: book.Business) -> str:
+def put(held: ReplicatedState, command: replicated.Business) -> str:
     """The refusal, or empty."""
-    decision = held.apply(held.index + 1, book.encoder.encode(command))
+    decision = held.apply(held.index + 1, replicated.encoder.encode(command))
     assert decision is not None
     return decision.refused
 
 
-def begun(**more) -> Book:
-    held = Book()
+def begun(**more) -> ReplicatedState:
+    held = ReplicatedState()
     assert put(held, Limit(voter="n0", budgets=Budgets(**({"proxies": 2, "servers": 2} | more)))) == ""
     return held
 
@@ -82,7 +93,7 @@
                  target=target)  # fmt: skip
 
 
-def planned(held: Book, bundle: bytes = b"{}", kind: str = "settings", **fields) -> int:
+def planned(held: ReplicatedState, bundle: bytes = b"{}", kind: str = "settings", **fields) -> int:
     plan = Plan(kind=kind, bundle=bundle, waves=(("p0",), ("p1", "p2")), **fields)
     assert put(held, plan) == ""
     number = held.index
@@ -103,13 +114,13 @@
     assert put(held, grant("c", "server")) == "2 out, 1 of 6 may be"
     assert sorted(held.out("server")) == ["a", "b"]
     assert put(held, Limit(voter="n1", budgets=None)) == ""
-    assert put(held, book.Undrain(server="a")) == "" and put(held, grant("c", "server")) == ""
+    assert put(held, replicated.Undrain(server="a")) == "" and put(held, grant("c", "server")) == ""
 
 
 def test_a_permit_ends_by_its_holders_word_once() -> None:
     held = begun()
     number = planned(held)
-    digest = book.digest_of(b"{}")
+    digest = replicated.digest_of(b"{}")
     assert put(held, grant("p0", life=5, release=number, target="other")) == f"p0 is to get {digest}"
     assert put(held, grant("p0", life=5, release=number, target=digest)) == ""
     permit = held.index
@@ -122,13 +133,13 @@
 
 def test_nothing_is_granted_while_a_release_is_halted_and_the_way_back_brings_each_back() -> None:
     held = begun()
-    number, digest = planned(held), book.digest_of(b"{}")
+    number, digest = planned(held), replicated.digest_of(b"{}")
     assert put(held, grant("p0", release=number, target=digest)) == ""
     first = held.index
     assert put(held, Halt(release=number, why="so")) == ""
     assert put(held, grant("p1", release=number, target=digest)) == f"release {number} does not go on"
     assert put(held, Return(permit=first, how="back", life=1)) == ""  # what drains goes on
-    assert put(held, book.Back(release=number)) == ""
+    assert put(held, replicated.Back(release=number)) == ""
     assert put(held, grant("p1", release=number, target="")) == "p1 has nothing to go back from"
     assert put(held, grant("p0", release=number, target="")) == ""
     assert put(held, Return(permit=held.index, how="back", life=1)) == ""
@@ -138,9 +149,9 @@
 
 def test_who_fails_keeps_what_it_had_and_a_wave_is_through_only_when_all_are() -> None:
     held = begun()
-    number, digest = planned(held), book.digest_of(b"{}")
+    number, digest = planned(held), replicated.digest_of(b"{}")
     put(held, grant("p0", release=number, target=digest))
-    assert put(held, book.Advance(release=number, waves=1)) == "not all of the wave are through"
+    assert put(held, replicated.Advance(release=number, waves=1)) == "not all of the wave are through"
     put(held, Return(permit=held.index - 1, how="failed", life=1, text="no"))
     assert held.target("p0") == "" and held.state.releases[number].members["p0"].state == "failed"
     assert put(held, Halt(release=number, why="p0")) == ""
@@ -154,7 +165,7 @@
     assert put(held, Drain(server=Thing("b"), id=7)) == "said already"
     before = held.save()
     assert held.apply(held.index + 1, msgspec.msgpack.encode([99, 1, 2])) is None
-    after = Book()
+    after = ReplicatedState()
     after.load(held.index, before)
     assert after.state.wants.keys() == held.state.wants.keys() == {"a"}
 
@@ -177,24 +188,28 @@
 
 def test_a_vote_is_said_only_once_it_is_stored() -> None:
     voters = tuple(Voter(n, 1) for n in "abc")
-    node = Node(voters[0], Whole(Hard(Reign(1, 1), voters[0], 3), Base(1, 1, voters), []), ("a", "b", "c"))
-    ask = codec.Vote(Reign(1, 1), 4, voters[1], 1, 1, False)
+    node = Node(
+        voters[0],
+        Checkpoint(HardState(Epoch(1, 1), voters[0], 3), Snapshot(1, 1, voters), []),
+        ("a", "b", "c"),
+    )
+    ask = codec.RequestVote(Epoch(1, 1), 4, voters[1], 1, 1, False)
     effects = node.message(ask)
     (persist,) = [e for e in effects if isinstance(e, Persist)]
-    assert not said(effects) and Hard(Reign(1, 1), voters[0], 4, voters[1]) in persist.what
+    assert not said(effects) and HardState(Epoch(1, 1), voters[0], 4, voters[1]) in persist.what
     (reply,) = said(node.stored(persist.token))
     assert reply.granted
-    other = node.message(codec.Vote(Reign(1, 1), 4, voters[2], 9, 9, False))
+    other = node.message(codec.RequestVote(Epoch(1, 1), 4, voters[2], 9, 9, False))
     assert not said(other)[0].granted  # one vote a term
     assert not said(node.failed()) and not node.message(ask)  # what cannot be stored is never said
 
 
 def test_who_has_lost_its_state_has_no_vote_and_is_taken_in_as_another() -> None:
     blank = Node(Voter("a", 2), None, ("a", "b", "c"))
-    blank.reign = Reign(1, 1)
+    blank.epoch = Epoch(1, 1)
     assert blank.role is Role.OUT
     for pre in (True, False):
-        (reply,) = said(blank.message(codec.Vote(Reign(1, 1), 4, Voter("b", 1), 9, 9, pre))) or [None]
+        (reply,) = said(blank.message(codec.RequestVote(Epoch(1, 1), 4, Voter("b", 1), 9, 9, pre))) or [None]
         if reply is None:  # it waits for what it has stored of the term
             (reply,) = said(blank.stored(blank.token))
         assert not reply.granted
@@ -202,13 +217,13 @@
 
 def test_a_leader_of_a_history_that_is_over_follows_the_one_begun_by_hand() -> None:
     a = Voter("a", 1)
-    node = Node(a, Whole(Hard(Reign(1, 5), a, 3), Base(4, 3, (a,), b""), []), ("a",))
+    node = Node(a, Checkpoint(HardState(Epoch(1, 5), a, 3), Snapshot(4, 3, (a,), b""), []), ("a",))
     for effect in node.elapsed():
         if isinstance(effect, Persist):
             node.stored(effect.token)
     assert node.role is Role.LEADER
-    node.message(codec.Voted(Reign(2, 1), 1, Voter("b", 1), False, False))
-    assert node.role is Role.OUT and node.reign == Reign(2, 1) and node.last == 0
+    node.message(codec.RequestVoteReply(Epoch(2, 1), 1, Voter("b", 1), False, False))
+    assert node.role is Role.OUT and node.epoch == Epoch(2, 1) and node.last == 0
 
 
 def test_small_configurations_explored_to_a_depth() -> None:
@@ -221,9 +236,9 @@
 
 A = Voter("a", 1)
 RECORDS: list[codec.Kept] = [
-    Whole(Hard(Reign(1, 1), A, 1, A), Base(1, 0, (A,), b"book"), []),
+    Checkpoint(HardState(Epoch(1, 1), A, 1, A), Snapshot(1, 0, (A,), b"book"), []),
     Add(2, [Entry(1, codec.COMMAND, b"x"), Entry(1, codec.COMMAND, b"y")]),
-    Hard(Reign(1, 1), A, 2, None),
+    HardState(Epoch(1, 1), A, 2, None),
     Add(3, [Entry(2, codec.COMMAND, b"z")]),
 ]
 
@@ -245,7 +260,7 @@
     path.write_bytes(data + bytes(100))
     store = storage.Store(path)
     assert store.load() == states[-1] and path.read_bytes() == data
-    store.write([Hard(Reign(1, 1), A, 9, None)])
+    store.write([HardState(Epoch(1, 1), A, 9, None)])
     store.close()
     store = storage.Store(path)
     found = store.load()
@@ -292,9 +307,9 @@
 
 
 def test_a_word_of_another_fleet_or_with_a_bit_turned_is_junk() -> None:
-    word = agent.Told(Reign(), Report("n1", 1, 2, "", True), False)
-    data = agent.encode("fleet", word)
-    assert agent.decode(data, "fleet") == word and agent.sender(word) == "n1"
+    message = agent.Told(Epoch(), Report("n1", 1, 2, "", True), False)
+    data = agent.encode("fleet", message)
+    assert agent.decode(data, "fleet") == message and agent.sender(message) == "n1"
     with pytest.raises(codec.Junk, match="another fleet"):
         agent.decode(data, "other")
     for at in range(len(data)):
@@ -373,12 +388,17 @@
 def leading(kind: type[Node], entries: list[Entry], names=("a", "b", "c")) -> Node:
     """Of term 4, elected by b, all stored."""
     voters = tuple(Voter(n, 1) for n in "abc")
-    node = kind(voters[0], Whole(Hard(Reign(1, 1), voters[0], 3), Base(1, 1, voters), entries), names)
-    for effects in (node.elapsed(), node.message(codec.Voted(Reign(1, 1), 4, voters[1], True, True))):
+    node = kind(
+        voters[0], Checkpoint(HardState(Epoch(1, 1), voters[0], 3), Snapshot(1, 1, voters), entries), names
+    )
+    for effects in (
+        node.elapsed(),
+        node.message(codec.RequestVoteReply(Epoch(1, 1), 4, voters[1], True, True)),
+    ):
         for effect in effects:
             if isinstance(effect, Persist):
                 node.stored(effect.token)
-    for effect in node.message(codec.Voted(Reign(1, 1), 4, voters[1], True, False)):
+    for effect in node.message(codec.RequestVoteReply(Epoch(1, 1), 4, voters[1], True, False)):
         if isinstance(effect, Persist):
             node.stored(effect.token)
     assert node.role is Role.LEADER and node.term == 4
@@ -388,15 +408,15 @@
 def old_terms_are_not_counted(kind: type[Node]) -> bool:
     """A majority has an entry of term 2; another may still be elected that has not (Ongaro, figure 3.7)."""
     node = leading(kind, [Entry(2, codec.COMMAND, b"x")])
-    node.message(codec.Appended(Reign(1, 1), 4, Voter("b", 1), True, 2))
+    node.message(codec.AppendEntriesReply(Epoch(1, 1), 4, Voter("b", 1), True, 2))
     early = node.commit
-    node.message(codec.Appended(Reign(1, 1), 4, Voter("b", 1), True, 3))
+    node.message(codec.AppendEntriesReply(Epoch(1, 1), 4, Voter("b", 1), True, 3))
     return early == 1 and node.commit == 3
 
 
 def voters_change_one_at_a_time(kind: type[Node]) -> bool:
     node = leading(kind, [], ("a", "b"))  # c is to go
-    node.message(codec.Appended(Reign(1, 1), 4, Voter("b", 1), True, 2))
+    node.message(codec.AppendEntriesReply(Epoch(1, 1), 4, Voter("b", 1), True, 2))
     node.names = ("a",)
     node.change()
     before = node.last
@@ -406,11 +426,11 @@
 
 def a_history_begun_by_hand_replaces_the_one_before(kind: type[Node]) -> bool:
     node = leading(kind, [])
-    node.message(codec.Voted(Reign(2, 1), 1, Voter("b", 1), False, False))
-    return node.role is Role.OUT and node.reign == Reign(2, 1)
+    node.message(codec.RequestVoteReply(Epoch(2, 1), 1, Voter("b", 1), False, False))
+    return node.role is Role.OUT and node.epoch == Epoch(2, 1)
 
 
-def the_book_reckons_again(kind: type[Book]) -> bool:
+def the_state_reckons_again(kind: type[ReplicatedState]) -> bool:
     held = kind()
     put(held, Limit(voter="n0", budgets=Budgets(servers=1, least_ready=0.0)))
     for name in ("a", "b"):
@@ -424,8 +444,8 @@
     [
         (old_terms_are_not_counted, Node, planted_agree.OldTermCounted),
         (voters_change_one_at_a_time, Node, planted_agree.ManyChangesAtOnce),
-        (a_history_begun_by_hand_replaces_the_one_before, Node, planted_agree.OldReignGoesOn),
-        (the_book_reckons_again, Book, planted_agree.BudgetNotReckonedAgain),
+        (a_history_begun_by_hand_replaces_the_one_before, Node, planted_agree.OldEpochGoesOn),
+        (the_state_reckons_again, ReplicatedState, planted_agree.BudgetNotReckonedAgain),
     ],
     ids=lambda x: x.__name__,
 )
@@ -458,19 +478,21 @@
         one.start(0, 0)
         held = begun()
         number = planned(held)
-        put(held, grant("p0", release=number, target=book.digest_of(b"{}")))
+        put(held, grant("p0", release=number, target=replicated.digest_of(b"{}")))
         one.observe(1, 0, Sight(marks={number: (5, "p3")}))
-        facts = agent.Facts(Reign(1, 1), "v", "v", Base(held.index, 0, (), held.save()), held.index + 1, [])
+        facts = agent.Facts(
+            Epoch(1, 1), "v", "v", Snapshot(held.index, 0, (), held.save()), held.index + 1, []
+        )
         effects = one.message(2, 0, facts)
         assert sum(isinstance(e, agent.Act) for e in effects) == begins
         assert (held.index in one.unused) == (not begins)
 
 
 def test_a_release_that_nobody_can_go_on_with_is_halted_with_the_reason_why() -> None:
-    held, steward, seconds = begun(), Steward(0, random.Random(1)), gates.Seconds()
+    held, controller, seconds = begun(), Controller(0, random.Random(1)), gates.Seconds()
     planned(held, patience_s=5.0, gated=False)
     for now in (0, 6 * SECOND):
-        found = steward.decide(now, held, Sight(configured=3), {}, seconds, {}, {})
+        found = controller.decide(now, held, Sight(configured=3), {}, seconds, {}, {})
     assert isinstance(found, Halt) and found.why == "nobody could go for 5 s: p0 is missing"
 
 
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -23,7 +23,7 @@
         rig = made[0].rig
         rig.start()
         rig.until(lambda: rig.agreed(rig.names), 20)
-        rig.until(lambda: rig.book("n0").get("role") == "out", 10)
+        rig.until(lambda: rig.replicated("n0").get("role") == "out", 10)
         assert rig.ordered("n0", "agree reset").startswith("ACK")
         rig.until(lambda: whole(rig, voters), 15)
         return made[0]
@@ -54,7 +54,7 @@
 
 
 def release(rig, name: str = "n0") -> dict:
-    found = rig.book(name)["releases"]
+    found = rig.replicated(name)["releases"]
     return found[max(found)] if found else {"state": "none", "members": {}}
 
 
@@ -67,10 +67,10 @@
     assert rig.ordered("n4", "drain s9") == "NAK unknown server s9"
     assert rig.ordered("n4", "drain s0").startswith("ACK s0 waits")
     assert rig.ordered("n1", "drain s1").startswith("ACK")
-    rig.until(lambda: all(rig.book(n)["permits"] for n in rig.names), 4)
+    rig.until(lambda: all(rig.replicated(n)["permits"] for n in rig.names), 4)
     told = clock()
-    assert [p["name"] for p in rig.book("n2")["permits"]] == ["s0"]  # the other waits for its turn
-    rig.until(lambda: rig.book("n0")["permits"][0]["safe"], 25)
+    assert [p["name"] for p in rig.replicated("n2")["permits"]] == ["s0"]  # the other waits for its turn
+    rig.until(lambda: rig.replicated("n0")["permits"][0]["safe"], 25)
     for wire in t.servers.values():
         assert not wire[0].live  # so it is empty
         assert max(wire[0].opened_at) < told + 2_000_000
@@ -82,7 +82,7 @@
     rig.tell(rows)
     rig.run(1)
     assert rig.ordered("n2", "undrain s0").startswith("ACK s0 is back")
-    rig.until(lambda: [p["name"] for p in rig.book("n3")["permits"]] == ["s1"], 5)
+    rig.until(lambda: [p["name"] for p in rig.replicated("n3")["permits"]] == ["s1"], 5)
     rig.until(lambda: any(wire[0].live for wire in t.servers.values()), 8)
     t.shut = set(rig.names)
     rig.run(1)
@@ -94,14 +94,14 @@
     at = f"--control=127.0.0.1:{rig.ports['n1']['control']}"
     good = rig.command("drain", "--zone", "z", at)
     assert good.returncode == 0 and good.stdout.count("waits for its turn") == 3, good
-    rig.until(lambda: any(p["safe"] for p in rig.book("n1")["permits"]), 10)
+    rig.until(lambda: any(p["safe"] for p in rig.replicated("n1")["permits"]), 10)
     status = rig.command("release", "status", at)
     assert (
         status.returncode == 0
         and "empty: safe to stop" in status.stdout
         and "drains that wait" in status.stdout
     )
-    (server,) = [p["name"] for p in rig.book("n1")["permits"]]
+    (server,) = [p["name"] for p in rig.replicated("n1")["permits"]]
     assert rig.command("drain", server, at).returncode == 1  # drained already
     rows = [json.loads(line) for line in rig.command("release", "log", "--json", at).stdout.splitlines()]
     assert [row["what"] for row in rows].count("drain") == 4 and rows[-1]["refused"]
@@ -127,11 +127,11 @@
     good = bundle(1700)
     words = f"release plan settings bytes={len(good)} soak_s=0.5 patience_s=20 gated=0"
     assert rig.ordered("n5", words, good).startswith("ACK release")
-    # Whoever is told that it is done can go on there: its book has it by then, though it is no voter.
+    # Whoever is told that it is done can go on there: its state has it by then, though it is no voter.
     assert rig.ordered("n5", "release start").startswith("ACK")
     rig.until(lambda: release(rig)["state"] == "done", 30)
     assert set(release(rig, "n5")["members"].values()) == {"new"}
-    digests = {rig.book(n)["digest"] for n in rig.names}
+    digests = {rig.replicated(n)["digest"] for n in rig.names}
     assert len(digests) == 1 and "" not in digests
 
     slow = bundle(1500)
@@ -151,7 +151,7 @@
     rig.until(lambda: release(rig)["state"] == "halted", 5)
     assert rig.ordered("n2", "release resume").startswith("ACK")
     rig.until(lambda: release(rig)["state"] == "back", 15)
-    assert {rig.book(n)["digest"] for n in rig.names} == digests
+    assert {rig.replicated(n)["digest"] for n in rig.names} == digests
     t.shut = set(rig.names)
     rig.run(1)
     assert t.harmed(set()) == []
@@ -161,14 +161,14 @@
     t = town(5)
     rig = t.rig
     rig.board.part(["n0", "n3"], ["n1", "n2", "n4"])
-    rig.until(lambda: rig.book("n1")["leader"] in ("n1", "n2"), 10)
+    rig.until(lambda: rig.replicated("n1")["leader"] in ("n1", "n2"), 10)
     lost = rig.order("n3", "drain s0")
     assert rig.ordered("n4", "drain s1").startswith("ACK")
-    rig.until(lambda: rig.book("n4")["permits"], 5)
+    rig.until(lambda: rig.replicated("n4")["permits"], 5)
     rig.until(lambda: lost() is not None, 12)
-    assert (lost() or "").startswith("NAK not agreed") and not rig.book("n3")["permits"]
+    assert (lost() or "").startswith("NAK not agreed") and not rig.replicated("n3")["permits"]
     rig.board.heal()
-    rig.until(lambda: [p["name"] for p in rig.book("n3")["permits"]] == ["s1"], 8)
+    rig.until(lambda: [p["name"] for p in rig.replicated("n3")["permits"]] == ["s1"], 8)
     good = bundle(1700)
     words = f"release plan settings bytes={len(good)} soak_s=30 patience_s=60 gated=0"
     rig.until(lambda: rig.agreed(rig.names), 8)
@@ -209,17 +209,19 @@
     t = town(3)
     rig = t.rig
     assert rig.ordered("n1", "drain s0").startswith("ACK")
-    rig.until(lambda: rig.book("n2")["permits"], 5)
+    rig.until(lambda: rig.replicated("n2")["permits"], 5)
     rig.kill(["n0"])
-    rig.until(lambda: rig.book("n1")["leader"] in ("n1", "n2"), 8)
+    rig.until(lambda: rig.replicated("n1")["leader"] in ("n1", "n2"), 8)
     rig.start(["n0"])  # it has lost its state
-    rig.until(lambda: len(rig.book("n0").get("voters", [])) == 3 and rig.book("n0")["permits"], 15)
+    rig.until(
+        lambda: len(rig.replicated("n0").get("voters", [])) == 3 and rig.replicated("n0")["permits"], 15
+    )
     sent = max(at for wire in t.servers.values() for at in [0, *wire[0].opened_at])
     assert sent < clock() - 100 * MS
     rig.kill(["n0", "n1"])
     rig.start(["n0", "n1"])  # a majority has lost its state: nothing is agreed until somebody says so
     rig.until(lambda: rig.agreed(rig.names), 15)
     assert rig.ordered("n2", "undrain s0 off").startswith("NAK not agreed")
-    assert rig.ordered("n2", "agree reset").startswith("ACK")  # it has the book
+    assert rig.ordered("n2", "agree reset").startswith("ACK")  # it has the replicated state
     rig.until(lambda: whole(rig, 3), 15)
-    assert [p["name"] for p in rig.book("n0")["permits"]] == ["s0"]
+    assert [p["name"] for p in rig.replicated("n0")["permits"]] == ["s0"]
