--- a/arrowseam/config/operator.py
+++ b/arrowseam/config/operator.py
@@ -44,7 +44,7 @@
 
 
 class Place(Struct, frozen=True, rename={"klass": "class"}):
-    """Where a NATS consumer belongs, by the names of the settings."""
+    """Where a NATS client belongs, by the names of the settings."""
 
     klass: Text
     tenant: str | None = None
--- a/arrowseam/facade.py
+++ b/arrowseam/facade.py
@@ -1,8 +1,8 @@
 """The decision module in blocking style: ``pick``, ``report``, ``tick``.
 
 It owns the one ``Balancer`` of this process, the module's timers and the numbers by which the module knows
-invocations and servers. It alone outside the module and the simulator's adapter touches events and actions;
-what goes in and out here is plain values. It must never decide: neither where an invocation goes nor when it
+requests and servers. It alone outside the module and the simulator's adapter touches events and actions;
+what goes in and out here is plain values. It must never decide: neither where a request goes nor when it
 is answered. It knows no socket and no wire.
 """
 
@@ -60,15 +60,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Left:
-    """The consumer is gone: nobody is owed an answer."""
+    """The client is gone: nobody is owed an answer."""
 
 
 Answer: TypeAlias = Call | Rejection | Failure | Left
 
 
 @dataclass(slots=True)
-class Invocation:
-    """One invocation from its arrival to its end, with what the front knows of it."""
+class Request:
+    """One request from its arrival to its end, with what the front knows of it."""
 
     klass: int
     tenant: int
@@ -81,8 +81,8 @@
     server: str = ""  # where it runs already; empty for a new one
     name: str = ""
     klass_name: str = ""
-    rule: api.RequestClass | None = None  # its class as it was when the consumer came
-    over: bool = False  # all that is left is that its consumer hears of it
+    rule: api.RequestClass | None = None  # its class as it was when the client came
+    over: bool = False  # all that is left is that its client hears of it
     left: Callable[[], bool] = bool
     wake: Callable[[], None] = lambda: None
     # the facade's own
@@ -94,7 +94,7 @@
     written: bool = False  # the opening of the attempt under way, to its last byte
     known: bool = False  # to the module
     open: bool = False
-    move: bool = False  # the module wants its consumer to come again
+    move: bool = False  # the module wants its client to come again
     call_off: bool = False
     dismissed: bool = False  # this process ends: the final answer is due now
 
@@ -107,7 +107,7 @@
 class Turn:
     """What the module wants done besides calls and answers."""
 
-    moves: list[Invocation] = field(default_factory=list)
+    moves: list[Request] = field(default_factory=list)
     watch: bool = False
     fetch: bool = False
     probes: list[str] = field(default_factory=list)
@@ -126,7 +126,7 @@
         self.addresses: dict[str, str] = {}
         self.ready = 0  # servers that the list held calls ready
         self.states: dict[int, api.BackendState] = {}
-        self.invocations: dict[int, Invocation] = {}
+        self.requests: dict[int, Request] = {}
         self.count = 0
         self.timers: list[tuple[int, int]] = []
         self.next = Turn()
@@ -142,7 +142,7 @@
         for action in self.balancer.handle(max(now, self.balancer.now), list(events)):
             match action:
                 case api.Send(number, backend, timeout):
-                    found = self.invocations.get(number)
+                    found = self.requests.get(number)
                     if found is not None:
                         found.attempt += 1
                         found.backend = backend
@@ -155,11 +155,11 @@
                 case api.WakeAt(delay, token):
                     heapq.heappush(self.timers, (now + max(1, delay), token))
                 case api.Move(number):
-                    found = self.invocations.get(number)
+                    found = self.requests.get(number)
                     if found is not None:
                         self.next.moves.append(found)
                 case api.Cancel(number, attempt):
-                    found = self.invocations.get(number)
+                    found = self.requests.get(number)
                     if found is not None and found.attempt == attempt and not found.open:
                         found.call_off = True
                         found.wake()
@@ -174,92 +174,92 @@
                 case api.CloseIdle() | api.Tell():
                     pass  # no idle connections are kept, and proxies share nothing
 
-    def _answer(self, invocation: Invocation, answer: Answer) -> None:
-        invocation.answers.append(answer)
-        invocation.wake()
+    def _answer(self, request: Request, answer: Answer) -> None:
+        request.answers.append(answer)
+        request.wake()
 
     def _final(self, number: int, answer: Answer) -> None:
-        found = self.invocations.pop(number, None)
+        found = self.requests.pop(number, None)
         if found is not None:
             found.known = False
             self._answer(found, answer)
 
-    def _begin(self, invocation: Invocation) -> api.Request:
+    def _begin(self, request: Request) -> api.Request:
         self.count += 1
         # A class is a position, which new settings may have given to another since.
-        klass = self.config.classes.get(invocation.klass_name) if invocation.rule else invocation.klass
-        invocation.number = self.count
-        invocation.known = True
-        self.invocations[self.count] = invocation
+        klass = self.config.classes.get(request.klass_name) if request.rule else request.klass
+        request.number = self.count
+        request.known = True
+        self.requests[self.count] = request
         return api.Request(
             request=self.count,
             klass=-1 if klass is None else klass,
-            rule=invocation.rule if klass is None else None,
-            tenant=invocation.tenant,
-            key=invocation.key,
-            time_left=max(0, invocation.due - self.clock()),
-            load=invocation.load,
-            group=invocation.group,
-            repeat=invocation.repeat,
-            returned=invocation.returned,
+            rule=request.rule if klass is None else None,
+            tenant=request.tenant,
+            key=request.key,
+            time_left=max(0, request.due - self.clock()),
+            load=request.load,
+            group=request.group,
+            repeat=request.repeat,
+            returned=request.returned,
         )
 
     # --- the network's side ---
 
-    def pick(self, invocation: Invocation) -> Generator[int | None, None, Answer]:
-        """Block this coroutine until there is an answer for the invocation, or its consumer has left.
+    def pick(self, request: Request) -> Generator[int | None, None, Answer]:
+        """Block this coroutine until there is an answer for the request, or its client has left.
 
         Past its due time the answer is a failure, whatever the module holds back.
         """
-        if not invocation.number:
-            self._feed(self._begin(invocation))
+        if not request.number:
+            self._feed(self._begin(request))
         while True:
-            if invocation.left():
+            if request.left():
                 # An attempt that the module has queued meanwhile is settled, never made.
-                self.gone(invocation)
+                self.gone(request)
                 return Left()
-            if invocation.dismissed and invocation.known:
+            if request.dismissed and request.known:
                 # Whether it may be refused, after what was tried for it, is the module's to say.
-                invocation.answers.clear()
-                self._feed(api.Dismissed(invocation.number))
-            if invocation.answers:
-                answer = invocation.answers.popleft()
+                request.answers.clear()
+                self._feed(api.Dismissed(request.number))
+            if request.answers:
+                answer = request.answers.popleft()
                 if isinstance(answer, Call):
-                    invocation.called_at, invocation.written = self.clock(), False
-                    if invocation.backend in self.balancer.cordoned:
+                    request.called_at, request.written = self.clock(), False
+                    if request.backend in self.balancer.cordoned:
                         # Taken out since the module chose it; it is asked for another.
-                        self.report(invocation, "unsent")
+                        self.report(request, "unsent")
                         continue
                 return answer
-            if self.clock() >= invocation.due:
-                self.gone(invocation)
+            if self.clock() >= request.due:
+                self.gone(request)
                 return Failure()
-            yield invocation.due
+            yield request.due
 
-    def may_begin(self, invocation: Invocation) -> bool:
+    def may_begin(self, request: Request) -> bool:
         """Whether the attempt under way, which can begin now, still may."""
-        return self.balancer.may_begin(max(self.clock(), self.balancer.now), invocation.number)
+        return self.balancer.may_begin(max(self.clock(), self.balancer.now), request.number)
 
-    def export(self, invocation: Invocation) -> dict[str, Any]:
+    def export(self, request: Request) -> dict[str, Any]:
         """What stands, as another process of this proxy takes it up: names, no positions."""
-        rule = invocation.rule or self.settings.classes[invocation.klass]
-        tenants = [name for name, n in self.config.tenants.items() if n == invocation.tenant]
+        rule = request.rule or self.settings.classes[request.klass]
+        tenants = [name for name, n in self.config.tenants.items() if n == request.tenant]
         return {
-            "name": invocation.name,
-            "class": invocation.klass_name,
+            "name": request.name,
+            "class": request.klass_name,
             "rule": [rule.aim, rule.deadline, rule.worth],
             "tenant": tenants[0] if tenants else "",
-            "key": invocation.key,
-            "group": invocation.group,
-            "load": invocation.load,
-            "server": self.names[invocation.backend],
+            "key": request.key,
+            "group": request.group,
+            "load": request.load,
+            "server": self.names[request.backend],
         }
 
-    def imported(self, state: dict[str, Any]) -> Invocation:
+    def imported(self, state: dict[str, Any]) -> Request:
         """The same, on this side."""
         aim, deadline, worth = state["rule"]
         self.know(state["server"])
-        return Invocation(
+        return Request(
             klass=-1,
             klass_name=str(state["class"]),
             rule=api.RequestClass(aim=aim, deadline=deadline, worth=worth),
@@ -272,46 +272,46 @@
             due=0,
         )
 
-    def adopt(self, invocation: Invocation) -> None:
+    def adopt(self, request: Request) -> None:
         """The connection runs at its server already."""
-        backend = self.numbers.get(invocation.server, 0)
-        request = self._begin(invocation)
-        invocation.attempt, invocation.backend, invocation.open = 0, backend, True
-        self._feed(api.Adopted(request, backend))
+        backend = self.numbers.get(request.server, 0)
+        event = self._begin(request)
+        request.attempt, request.backend, request.open = 0, backend, True
+        self._feed(api.Adopted(event, backend))
 
-    def report(self, invocation: Invocation, outcome: str) -> None:
+    def report(self, request: Request, outcome: str) -> None:
         """How the attempt under way ended, or 'up' that it stands, or how an open connection ended."""
-        if not invocation.known:
+        if not request.known:
             return
-        elapsed = self.clock() - invocation.called_at
-        number, attempt, backend = invocation.number, invocation.attempt, invocation.backend
+        elapsed = self.clock() - request.called_at
+        number, attempt, backend = request.number, request.attempt, request.backend
         if outcome == "up":
-            invocation.open = True
+            request.open = True
             self._feed(api.Established(number, attempt, backend, elapsed))
             return
-        final = invocation.open or outcome == "ok"
+        final = request.open or outcome == "ok"
         if final:
-            self.invocations.pop(number, None)
-            invocation.known = False
-        invocation.call_off = False
+            self.requests.pop(number, None)
+            request.known = False
+        request.call_off = False
         self._feed(api.AttemptEnded(number, attempt, backend, OUTCOMES[outcome], elapsed, final))
 
-    def gone(self, invocation: Invocation) -> None:
-        """The consumer has left, or was answered, before the module was done with it."""
-        if invocation.known:
-            self.invocations.pop(invocation.number, None)
-            invocation.known = False
-            invocation.answers.clear()
-            self._feed(api.ClientGone(invocation.number))
+    def gone(self, request: Request) -> None:
+        """The client has left, or was answered, before the module was done with it."""
+        if request.known:
+            self.requests.pop(request.number, None)
+            request.known = False
+            request.answers.clear()
+            self._feed(api.ClientGone(request.number))
 
-    def note(self, invocation: Invocation, level: float) -> None:
+    def note(self, request: Request, level: float) -> None:
         """What a server said of a connection: its load, or how many milliseconds a message takes there now,
         whichever of these the servers of this deployment tell."""
-        if not (invocation.open and invocation.known and math.isfinite(level)):
+        if not (request.open and request.known and math.isfinite(level)):
             return
-        place = (invocation.number, invocation.attempt, invocation.backend)
+        place = (request.number, request.attempt, request.backend)
         if self.settings.tells_load:
-            invocation.load = level
+            request.load = level
             self._feed(api.LoadNote(*place, level))
         elif self.settings.tells_delay:
             self._feed(api.DelayNote(*place, level))
@@ -327,10 +327,10 @@
             return False
         self._feed(api.Cordon(backend, out, at))
         if out:
-            for invocation in self.invocations.values():
-                if invocation.backend == backend and not invocation.open and not invocation.written:
-                    invocation.call_off = True
-                    invocation.wake()
+            for request in self.requests.values():
+                if request.backend == backend and not request.open and not request.written:
+                    request.call_off = True
+                    request.wake()
         return True
 
     def retune(self, config: Config) -> None:
@@ -359,8 +359,8 @@
         """Connections that stand at a server, and calls under way there that may yet."""
         backend = self.numbers.get(server, 0)
         return sum(
-            invocation.backend == backend and (invocation.open or invocation.attempt >= 0)
-            for invocation in self.invocations.values()
+            request.backend == backend and (request.open or request.attempt >= 0)
+            for request in self.requests.values()
         )
 
     def standing(self, server: str) -> int:
--- a/arrowseam/lab/standins.py
+++ b/arrowseam/lab/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback, coroutines on the house's loop: servers and consumers of both wires.
+"""Stand-ins on loopback, coroutines on the house's loop: servers and clients of both wires.
 
 They own what outer parties say and do on the wire, with the failures a caller asks for. They must never
 judge: what they heard and when is there to be read. Tests and the laboratory use the same ones.
@@ -22,7 +22,7 @@
     loop: Loop
     wire: str
     words: dict[str, Any]
-    address: Address  # where its consumers connect
+    address: Address  # where its clients connect
     flying: int  # calls that servers have taken and not answered
     most_flying: int
 
@@ -45,7 +45,7 @@
         "greeting": b'INFO {"server_id":"s","max_payload":1048576}\r\n', "half greeting": b'INFO {"ser',
     },
 }  # fmt: skip
-LANE_MS: dict[bytes, int] = {b"tech": 1800, b"resident": 600}  # how long a consumer of each class waits
+LANE_MS: dict[bytes, int] = {b"tech": 1800, b"resident": 600}  # how long a client of each class waits
 
 
 PORTS = itertools.count(10_000 + os.getpid() * 61 % 20_000)
@@ -126,8 +126,8 @@
             assert conn.push(data) == len(data)
 
 
-class Consumer:
-    """A stand-in consumer: what it got, and when its connection ended."""
+class Client:
+    """A stand-in client: what it got, and when its connection ended."""
 
     def __init__(self, world: Place, opening: bytes) -> None:
         self.world, self.got = world, bytearray()
@@ -135,7 +135,7 @@
         self.ended_at = 0
         self.reading = True
         self.began = clock()
-        world.loop.spawn(self.run(opening), "consumer")
+        world.loop.spawn(self.run(opening), "client")
 
     def run(self, opening: bytes) -> Steps[None]:
         conn = yield from self.world.loop.connect(self.world.address, clock() + SECOND)
--- a/arrowseam/lab/town.py
+++ b/arrowseam/lab/town.py
@@ -1,7 +1,7 @@
 """A rig of real proxies with stand-in servers behind it and clients that come all the time, on both wires.
 
 It owns the outer world of a rig. It must never look into a proxy, nor judge: who was harmed is told by what
-each consumer itself got.
+each client itself got.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from typing import Any
 
 from arrowseam.lab.rig import Rig
-from arrowseam.lab.standins import WORDS, Consumer, Server
+from arrowseam.lab.standins import WORDS, Client, Server
 from arrowseam.net.address import Address
 from arrowseam.net.loop import SECOND, Steps, clock
 
 
 class Wire:
-    """What the stand-in servers and consumers of one wire want of a world."""
+    """What the stand-in servers and clients of one wire want of a world."""
 
     def __init__(self, rig: Rig, wire: str) -> None:
         self.loop, self.wire, self.words = rig.loop, wire, WORDS[wire]
@@ -49,7 +49,7 @@
         places = {s.name: s.row["hostPort"] for s in self.servers["nats"]}
         for path in folder.glob("*.star"):
             path.write_text(path.read_text().replace("SERVERS", json.dumps(places)))
-        self.came: list[tuple[str, Consumer]] = []  # and by which proxy
+        self.came: list[tuple[str, Client]] = []  # and by which proxy
         self.shut: set[str] = set()  # proxies that clients are kept from
         self.rnd, self.number = random.Random(seed), 0
 
@@ -62,14 +62,14 @@
             while clock() < pause:
                 yield pause
 
-    def visit(self, name: str) -> Consumer:
+    def visit(self, name: str) -> Client:
         self.number += 1
         wire = ("lines", "nats")[self.number % 2]
         world = self.wires[wire]
         world.address = ("127.0.0.1", self.rig.ports[name]["front" if wire == "lines" else "nats"])
-        consumer = Consumer(world, world.words["open"](self.number, b"tech"))
-        self.came.append((name, consumer))
-        return consumer
+        client = Client(world, world.words["open"](self.number, b"tech"))
+        self.came.append((name, client))
+        return client
 
     def harmed(self, spared: set[str]) -> list[tuple[str, bytes]]:
         """Clients of proxies that no fault hit: those not served, or cut off without being told to move."""
--- a/arrowseam/net/control.py
+++ b/arrowseam/net/control.py
@@ -1,7 +1,7 @@
 """Control: what on-call staff and their tools ask of a running proxy, a line a connection.
 
 It owns the words of that second address. It must never decide anything, wait for anything but its caller's
-line, or be in the way of consumers.
+line, or be in the way of clients.
 
     health            ACK once this process can serve, else NAK
     counters          the figures, a line each, then a line ``--``
@@ -33,7 +33,7 @@
 
 CALL_MAX = 512
 CALLERS = 16  # at once; the oldest that has said nothing whole makes room for the next
-KEPT = CALLERS + 8  # descriptors kept back from consumers
+KEPT = CALLERS + 8  # descriptors kept back from clients
 SAY_WITHIN = 5 * SECOND  # who has said no whole line by then is closed
 HEAR_WITHIN = SECOND
 
--- a/arrowseam/net/health.py
+++ b/arrowseam/net/health.py
@@ -1,6 +1,6 @@
 """What balancers in front of us ask: the agent-check of HAProxy and HTTP ``/healthz``.
 
-It owns the words for how this proxy is. It must never change how it is, or be in the way of consumers.
+It owns the words for how this proxy is. It must never change how it is, or be in the way of clients.
 """
 
 from __future__ import annotations
--- a/arrowseam/net/lines.py
+++ b/arrowseam/net/lines.py
@@ -1,4 +1,4 @@
-"""The platform's front: lines of text from consumers, and the same lines to servers.
+"""The platform's front: lines of text from clients, and the same lines to servers.
 
 It owns the wire of PROTOCOL: what a line says, how it goes on, what a server's answer means, where one line
 ends. It must never choose a server, answer twice, or change a line that is not its own (but for ``d``).
@@ -13,14 +13,14 @@
 from typing import Any
 
 from arrowseam.config.proxy import Config
-from arrowseam.facade import Facade, Invocation
+from arrowseam.facade import Facade, Request
 from arrowseam.logs import log
 from arrowseam.net.address import Address
 from arrowseam.net.loop import MS, SECOND, Buffer, Conn, Framer, Loop, Passage, Steps, clock
-from arrowseam.relay import Consumer, Relay
+from arrowseam.relay import Client, Relay
 
 LINE_MAX = 4096
-EARLY = 16384  # bytes held of a consumer that has been heard
+EARLY = 16384  # bytes held of a client that has been heard
 FIRST_LINE = 2 * SECOND  # from connecting, whatever is said before it: then it is closed
 LOADS_KEPT = 16  # told and not yet heard by the module
 PINGS = 16  # asked before the first line; who wants more than that wants something else
@@ -80,14 +80,14 @@
     return Opening(line[: found.start(3)], tuple(pairs), found[1].decode(), int(found[2], 16), values)
 
 
-def invocation_of(opening: Opening, config: Config, now: int) -> Invocation:
+def request_of(opening: Opening, config: Config, now: int) -> Request:
     values = opening.values
     klass, tenant = config.classes.get(values["c"]), config.tenants.get(values.get("t", ""), 0)
     if klass is None or (values.get("t") and values["t"] not in config.tenants):
         raise BadLine("unknown class or tenant")
     # No client waits longer than its class does; one whose connection stood before says how long.
     longest = STANDING if values.get("at") else config.settings.classes[klass].deadline
-    return Invocation(
+    return Request(
         klass=klass,
         tenant=tenant,
         key=opening.key,
@@ -138,7 +138,7 @@
         return known
 
 
-class LineConsumer(Consumer):
+class LineClient(Client):
     def __init__(self, loop: Loop, conn: Conn, connect_timeout: int, opening: Opening | None) -> None:
         super().__init__(loop, conn, connect_timeout)
         self.opening = opening
@@ -170,7 +170,7 @@
                     self.passage = Passage(self.conn, server, Framer(), self.said)
                     return "up"
                 if word == b"BYE":
-                    # Served to its end at once: the consumer is told so in the server's own word.
+                    # Served to its end at once: the client is told so in the server's own word.
                     yield from self.conn.send(line, clock() + SECOND)
                 return ANSWERS.get(word, "error")
             if server.eof:
@@ -188,7 +188,7 @@
         end = self.passage.step()
         if end is None:
             return None
-        if end == "consumer":
+        if end == "client":
             return "left"
         return {b"BYE": "ok", b"MOVE": "moved"}.get(self.said.last, "reset")
 
@@ -210,7 +210,7 @@
 
 
 class LineFront:
-    """Takes consumers off the listener and hands each to the core."""
+    """Takes clients off the listener and hands each to the core."""
 
     def __init__(self, loop: Loop, config: Config, relay: Relay) -> None:
         self.loop, self.config, self.relay = loop, config, relay
@@ -235,7 +235,7 @@
             return
         try:
             opening = parse_open(line or b"")
-            invocation = invocation_of(opening, self.config, clock())
+            request = request_of(opening, self.config, clock())
             if opening.name in self.names or opening.name in self.elsewhere:
                 raise BadLine("the id of another connection")
             if len(conn.inbox):
@@ -246,37 +246,37 @@
             yield from self._end(conn, b"ERR\r\n")
             return
         conn.inbox.limit = EARLY
-        consumer = LineConsumer(self.loop, conn, self.config.settings.limits.connect_timeout, opening)
-        yield from self._stay(invocation, consumer, self.relay.serve)
+        client = LineClient(self.loop, conn, self.config.settings.limits.connect_timeout, opening)
+        yield from self._stay(request, client, self.relay.serve)
 
     def _end(self, conn: Conn, word: bytes) -> Steps[None]:
-        """One last word to who has no invocation."""
+        """One last word to who has no request."""
         due = clock() + SECOND // 2
         yield from conn.send(word, due)
         yield from conn.part(due)
 
-    def take(self, conn: Conn, server: Conn, invocation: Invocation, state: dict[str, Any]) -> Steps[None]:
+    def take(self, conn: Conn, server: Conn, request: Request, state: dict[str, Any]) -> Steps[None]:
         """Go on with what stood at another process of this proxy."""
-        consumer = LineConsumer(self.loop, conn, 0, None)
-        consumer.said.last = str(state["last"]).encode("latin-1")
-        consumer.passage = Passage(conn, server, Framer(), consumer.said)
-        consumer.passage.asked_at = state["asked"]
-        yield from self._stay(invocation, consumer, self.relay.take)
+        client = LineClient(self.loop, conn, 0, None)
+        client.said.last = str(state["last"]).encode("latin-1")
+        client.passage = Passage(conn, server, Framer(), client.said)
+        client.passage.asked_at = state["asked"]
+        yield from self._stay(request, client, self.relay.take)
 
     def _stay(
         self,
-        invocation: Invocation,
-        consumer: LineConsumer,
-        life: Callable[[Invocation, Consumer], Steps[None]],
+        request: Request,
+        client: LineClient,
+        life: Callable[[Request, Client], Steps[None]],
     ) -> Steps[None]:
-        invocation.left = lambda: consumer.conn.left
-        self.names.add(invocation.name)
-        self.noted(invocation.name, True)
+        request.left = lambda: client.conn.left
+        self.names.add(request.name)
+        self.noted(request.name, True)
         try:
-            yield from life(invocation, consumer)
+            yield from life(request, client)
         finally:
-            self.names.discard(invocation.name)
-            self.noted(invocation.name, False)
+            self.names.discard(request.name)
+            self.noted(request.name, False)
 
     def hear(self, name: str, is_open: bool) -> None:
         """An id is in use at the other process of this proxy, or is not any more."""
--- a/arrowseam/net/loop.py
+++ b/arrowseam/net/loop.py
@@ -2,7 +2,7 @@
 connections.
 
 It owns every file descriptor and the one clock (microseconds, monotonic). It must never know what the bytes
-mean, decide anything about an invocation, block, or let one coroutine's exception reach another.
+mean, decide anything about a request, block, or let one coroutine's exception reach another.
 
 A coroutine is a generator that yields the time at which it wants to run again, or None. It is resumed then,
 or as soon as anything happens on a connection that it owns or somebody wakes it; it must look for itself at
@@ -316,7 +316,7 @@
         self.stale: set[int] = set()
         self.ready: deque[Task] = deque()
         self.urgent: deque[Task] = deque()  # run before the others in each round: those of control
-        self.kept = 0  # descriptors that consumers may not have: those of control
+        self.kept = 0  # descriptors that clients may not have: those of control
         self.promised = 0  # servers' connections that those who wait for one may yet take
         self.polled_at = 0
         self.elsewhere = 0  # descriptors that the other process of this proxy holds during an upgrade
@@ -678,16 +678,16 @@
 
 
 class Passage:
-    """Bytes both ways between a consumer and the server that took it, from the moment it is established.
+    """Bytes both ways between a client and the server that took it, from the moment it is established.
 
     Each side's buffer is bounded: a side that does not read is not read for. Our own words go between two
     messages only.
     """
 
-    def __init__(self, consumer: Conn, server: Conn, outward: Framer, inward: Framer) -> None:
-        self.consumer, self.server = consumer, server
+    def __init__(self, client: Conn, server: Conn, outward: Framer, inward: Framer) -> None:
+        self.client, self.server = client, server
         self.outward, self.inward = outward, inward
-        self.out_due = self.in_due = 0  # released bytes at the head of the consumer's and the server's buffer
+        self.out_due = self.in_due = 0  # released bytes at the head of the client's and the server's buffer
         self.own = b""  # our own words to the server
         self.asked_at: int | None = None  # first question to the server since it last brought any byte
         self.heard_at = clock()
@@ -703,17 +703,17 @@
         return count
 
     def _out(self) -> bool:
-        """From the consumer to the server; whether anything moved."""
-        came = self.consumer.fill()
+        """From the client to the server; whether anything moved."""
+        came = self.client.fill()
         if self.own and not self.out_due and not self.outward.mid:
             self.own = self.own[self.server.push(self.own) :]
             if not self.own:
                 self.outward.spoken()
                 self._asked()
         if not self.own:
-            self.out_due = self.outward.release(self.consumer.inbox, self.out_due)
+            self.out_due = self.outward.release(self.client.inbox, self.out_due)
             if self.out_due:
-                count = self._forward(self.consumer, self.server, self.out_due)
+                count = self._forward(self.client, self.server, self.out_due)
                 self.out_due -= count
                 if count and self.outward.asks:
                     self._asked()
@@ -725,7 +725,7 @@
             self.asked_at = clock()
 
     def _in(self) -> bool:
-        """From the server to the consumer; whether anything moved."""
+        """From the server to the client; whether anything moved."""
         came = self.server.fill()
         if came:
             self.asked_at, self.heard_at = None, clock()
@@ -733,40 +733,40 @@
         if self.server.eof:
             self.in_due = len(self.server.inbox)
         if self.in_due:
-            count = self._forward(self.server, self.consumer, self.in_due)
+            count = self._forward(self.server, self.client, self.in_due)
             self.in_due -= count
             came = came or count > 0
         return came
 
     def step(self) -> str | None:
-        """Pass on what there is; 'consumer' or 'server' when that side has ended and all is passed on."""
-        consumer, server = self.consumer, self.server
+        """Pass on what there is; 'client' or 'server' when that side has ended and all is passed on."""
+        client, server = self.client, self.server
         for _ in range(ROUNDS):
             came = self._out()
             came = self._in() or came
-            if consumer.broken or (consumer.eof and (not len(consumer.inbox) or server.broken)):
-                self.ended = self.ended or "consumer"
+            if client.broken or (client.eof and (not len(client.inbox) or server.broken)):
+                self.ended = self.ended or "client"
             elif server.eof and not len(server.inbox):
                 self.ended = self.ended or "server"
             if self.ended or not came:
                 return self.ended
-        consumer.loop.wake(consumer.owner)
+        client.loop.wake(client.owner)
         return None
 
     def at_rest(self) -> bool:
         """Whether another process could go on from here: both ends hold, no message is half passed on."""
         return (
             self.ended is None
-            and self.consumer.sound
+            and self.client.sound
             and self.server.sound
             and not (self.out_due or self.in_due or self.own or self.outward.mid or self.inward.mid)
-            and max(len(self.consumer.inbox), len(self.server.inbox)) <= REST_MAX
+            and max(len(self.client.inbox), len(self.server.inbox)) <= REST_MAX
         )
 
     def export(self) -> dict[str, Any]:
         """What has come and is not passed on, and since when the server owes an answer, on the one clock."""
         return {
-            "outward": self.consumer.inbox.peek(REST_MAX).decode("latin-1"),
+            "outward": self.client.inbox.peek(REST_MAX).decode("latin-1"),
             "inward": self.server.inbox.peek(REST_MAX).decode("latin-1"),
             "asked": self.asked_at,
         }
@@ -774,29 +774,27 @@
     def farewell(self, text: bytes, due: int) -> Steps[bool]:
         """Pass on the rest of the message under way, then our own last word; whether all of it went."""
         rest_due = clock() + (due - clock()) // 2
-        while not self.consumer.broken and not self.server.eof and clock() < rest_due:
+        while not self.client.broken and not self.server.eof and clock() < rest_due:
             if self._in():
                 continue
             if not self.inward.mid and not len(self.server.inbox):
                 break
             yield rest_due
-        return not self.in_due and not self.inward.mid and (yield from self.consumer.send(text, due))
+        return not self.in_due and not self.inward.mid and (yield from self.client.send(text, due))
 
     def finish(self, due: int) -> Steps[None]:
         """End both sides alike: a reset for a reset, an end for an end, which is heard out for a moment."""
-        first, other = (
-            (self.server, self.consumer) if self.ended == "server" else (self.consumer, self.server)
-        )
+        first, other = (self.server, self.client) if self.ended == "server" else (self.client, self.server)
         if first.broken:
             first.close()
             other.close(reset=True)
             return
-        if self.ended == "consumer":
+        if self.ended == "client":
             # It may have ended only its sending: what the server still says belongs to it.
             other.end()
-            while not self.server.eof and not self.consumer.broken and clock() < due:
+            while not self.server.eof and not self.client.broken and clock() < due:
                 if not self._in():
                     yield due
             self._in()
         self.server.close()
-        yield from self.consumer.part(due)
+        yield from self.client.part(due)
--- a/arrowseam/net/nats.py
+++ b/arrowseam/net/nats.py
@@ -1,4 +1,4 @@
-"""The NATS front: consumers and servers that speak the NATS client protocol.
+"""The NATS front: clients and servers that speak the NATS client protocol.
 
 It owns that wire: the operations and their limits, the greeting on both sides, what was sent early and waits
 for its server, our own PINGs, lame duck. It must never choose a server, answer twice, replay early bytes more
@@ -17,18 +17,18 @@
 from arrowseam import __version__
 from arrowseam.config.decode import DecodeError, number, table
 from arrowseam.config.proxy import Config, ConfigError
-from arrowseam.facade import Invocation
+from arrowseam.facade import Request
 from arrowseam.net.address import Address, parse_address
 from arrowseam.net.loop import SECOND, Buffer, Conn, Framer, Loop, Passage, Steps, clock
-from arrowseam.relay import Consumer, Relay
+from arrowseam.relay import Client, Relay
 
 CONTROL_LINE = 4096  # longest control line, without its end, that a client may send
 SERVER_LINE = 32768  # servers' INFO may be longer
-# Bytes held for a consumer that has no server yet; past that it is not read. Memory may be 32 MB in all.
+# Bytes held for a client that has no server yet; past that it is not read. Memory may be 32 MB in all.
 EARLY_MAX = 16384
 SERVER_MAX = 65536  # the same of a server
 PINGS = 16  # asked before CONNECT
-GREETING = 2 * SECOND  # a consumer's CONNECT is waited for so long
+GREETING = 2 * SECOND  # a client's CONNECT is waited for so long
 ASK_AFTER = 2 * SECOND  # a server not heard for so long is asked with a PING of ours
 
 PAYLOAD = {b"PUB": 1, b"HPUB": 2, b"MSG": 1, b"HMSG": 2}  # verb -> how many of its last arguments are sizes
@@ -120,7 +120,7 @@
     agent: Address | None = None
 
     def place(self, connect: dict[str, Any]) -> tuple[int, int] | None:
-        """Class and tenant of a consumer: by its user, else by its name, else as all the rest."""
+        """Class and tenant of a client: by its user, else by its name, else as all the rest."""
         user, name = connect.get("user"), connect.get("name")
         found = self.users.get(user) if isinstance(user, str) else None
         if found is None and isinstance(name, str):
@@ -215,14 +215,14 @@
 
 
 class ClientOps(NatsFramer):
-    """From the consumer: remembers whose PING is whose, since PONGs come in order."""
+    """From the client: remembers whose PING is whose, since PONGs come in order."""
 
     verbs = FROM_CLIENT
     line_max = CONTROL_LINE
 
     def __init__(self, payload_max: int) -> None:
         super().__init__(payload_max)
-        self.pings: deque[bool] = deque()  # unanswered PINGs; whether each is the consumer's
+        self.pings: deque[bool] = deque()  # unanswered PINGs; whether each is the client's
 
     def spoken(self) -> None:
         self.pings.append(False)
@@ -231,12 +231,12 @@
         if op.verb == b"PING":
             self.pings.append(True)
             self.asks = True
-        # One CONNECT went out with the greeting, and no server may be told of another consumer.
+        # One CONNECT went out with the greeting, and no server may be told of another client.
         return op.verb != b"CONNECT"
 
 
 class ServerOps(NatsFramer):
-    """From the server: keeps back the answers to our own PINGs, and what would lead consumers past us."""
+    """From the server: keeps back the answers to our own PINGs, and what would lead clients past us."""
 
     verbs = FROM_SERVER
 
@@ -260,7 +260,7 @@
 # --- the front --------------------------------------------------------------------------------------------
 
 
-class NatsConsumer(Consumer):
+class NatsClient(Client):
     early = SERVER_MAX
 
     def __init__(self, front: NatsFront, conn: Conn, connect: bytes) -> None:
@@ -276,7 +276,7 @@
         return None if found == self.front.nats.listen else found
 
     def greet(self, server: Conn, due: int, stop: Callable[[], bool]) -> Steps[str]:
-        """Await all of INFO, say CONNECT and PING; PONG means that the server has taken the consumer."""
+        """Await all of INFO, say CONNECT and PING; PONG means that the server has taken the client."""
         sent = False
         while True:
             server.fill()
@@ -323,14 +323,14 @@
     def _established(self, server: Conn) -> None:
         self.out = ClientOps(self.front.nats.max_payload)
         self.into = ServerOps(self.front.nats.max_payload, self.out.pings)
-        # What the consumer said early is still in its buffer: the passage sends it on, once.
+        # What the client said early is still in its buffer: the passage sends it on, once.
         self.passage = Passage(self.conn, server, self.out, self.into)
 
     def step(self) -> str | None:
         passage, out, into = self.passage, self.out, self.into
         assert passage is not None and out is not None and into is not None
         quiet = clock() - passage.heard_at >= ASK_AFTER and passage.asked_at is None
-        # Not in the middle of what the consumer is sending: a slow consumer is no sign of a mute server.
+        # Not in the middle of what the client is sending: a slow client is no sign of a mute server.
         if quiet and not passage.own and not passage.out_due and not out.mid:
             passage.own, passage.asked_at = b"PING\r\n", clock()
         end = passage.step()
@@ -340,7 +340,7 @@
             return "reset"
         if end is None and out.error:
             return "left"
-        return {None: None, "consumer": "left", "server": "reset"}[end]
+        return {None: None, "client": "left", "server": "reset"}[end]
 
     def look_at(self) -> int | None:
         if self.passage is None or self.passage.asked_at is not None:
@@ -358,7 +358,7 @@
         self.out.pings.extend(pings)
 
     def last_word(self) -> bytes:
-        """Lame duck: the consumer is told to look for another server."""
+        """Lame duck: the client is told to look for another server."""
         return self.front.info(ldm=True)
 
     def finish(self, due: int) -> Steps[None]:
@@ -378,7 +378,7 @@
 
 
 class NatsFront:
-    """Greets consumers, reads who they are, and hands each to the core."""
+    """Greets clients, reads who they are, and hands each to the core."""
 
     def __init__(self, loop: Loop, config: Config, nats: NatsConfig, relay: Relay) -> None:
         self.loop, self.config, self.nats, self.relay = loop, config, nats, relay
@@ -424,15 +424,15 @@
         if place is None:
             yield from self._refuse(conn, "Authorization Violation")
             return
-        consumer = NatsConsumer(self, conn, connect)
-        if consumer.verbose:
+        client = NatsClient(self, conn, connect)
+        if client.verbose:
             if not (yield from conn.send(b"+OK\r\n", due)):
                 return
             place = self.nats.place(fields) or place  # new settings may have come meanwhile
         self.clients += 1
         name = fields.get("name") or fields.get("user") or ""
         yield from self.relay.serve(
-            Invocation(
+            Request(
                 klass=place[0],
                 klass_name=self.config.class_names[place[0]],
                 rule=self.config.settings.classes[place[0]],
@@ -442,20 +442,20 @@
                 name=f"nats-{self.clients}",
                 left=lambda: conn.left,
             ),
-            consumer,
+            client,
         )
 
-    def take(self, conn: Conn, server: Conn, invocation: Invocation, state: dict[str, Any]) -> Steps[None]:
+    def take(self, conn: Conn, server: Conn, request: Request, state: dict[str, Any]) -> Steps[None]:
         """Go on with what stood at another process of this proxy."""
-        consumer = NatsConsumer(self, conn, str(state["connect"]).encode("latin-1"))
-        consumer.take(server, [bool(own) for own in state["pings"]])
-        assert consumer.passage is not None
-        consumer.passage.asked_at = state["asked"]
-        invocation.left = lambda: conn.left
-        yield from self.relay.take(invocation, consumer)
+        client = NatsClient(self, conn, str(state["connect"]).encode("latin-1"))
+        client.take(server, [bool(own) for own in state["pings"]])
+        assert client.passage is not None
+        client.passage.asked_at = state["asked"]
+        request.left = lambda: conn.left
+        yield from self.relay.take(request, client)
 
     def _connect(self, conn: Conn, due: int) -> Steps[bytes | None]:
-        """The consumer's CONNECT; what it sends behind that stays in its buffer. None if it left."""
+        """The client's CONNECT; what it sends behind that stays in its buffer. None if it left."""
         pings = 0
         while True:
             conn.fill()
--- a/arrowseam/net/upgrade.py
+++ b/arrowseam/net/upgrade.py
@@ -423,12 +423,12 @@
             case {"held": int(held)}:
                 self.loop.elsewhere = held
 
-    def give(self, state: dict[str, Any], consumer: Conn, server: Conn) -> bool:
+    def give(self, state: dict[str, Any], client: Conn, server: Conn) -> bool:
         """Hand what stands to the new process, if that is there."""
         if self.link is None or self.link.conn.broken or len(self.link.out) >= MOST_WAITING:
             return False
         try:
-            self.link.say(consumer, server, stands=state)
+            self.link.say(client, server, stands=state)
         except OSError:
             return False  # no descriptor is free: it is tried again, and moved at the last
         return True
--- a/arrowseam/proxy.py
+++ b/arrowseam/proxy.py
@@ -13,14 +13,14 @@
 from typing import TYPE_CHECKING, Any
 
 from arrowseam.config.proxy import Config, ConfigError, overlaid, read_config
-from arrowseam.facade import Facade, Invocation
+from arrowseam.facade import Facade, Request
 from arrowseam.logs import log, use
 from arrowseam.net import control, lines, nats, upgrade
 from arrowseam.net.address import Address, parse_address
 from arrowseam.net.directory import Directory
 from arrowseam.net.health import Health
 from arrowseam.net.loop import Conn, Listener, Loop, Steps, Task, clock, open_listener
-from arrowseam.relay import Consumer, Relay
+from arrowseam.relay import Client, Relay
 
 if TYPE_CHECKING:  # imported only where there is an operator file: they cost memory
     from arrowseam.agree.keeper import Agreement
@@ -84,19 +84,19 @@
 def take_up(
     loop: Loop,
     front: lines.LineFront | nats.NatsFront,
-    invocation: Invocation,
+    request: Request,
     state: dict[str, Any],
     one: socket.socket,
     other: socket.socket,
 ) -> None:
     """Go on with a connection that stood at the old process, as its front does."""
     early = [str(state[way]).encode("latin-1") for way in ("outward", "inward")]
-    task = loop.spawn(iter(()), invocation.name)  # type: ignore[arg-type]
-    consumer, server = Conn(loop, one, task, lines.EARLY), Conn(loop, other, task, nats.SERVER_MAX)
-    for conn, data in zip((consumer, server), early):
+    task = loop.spawn(iter(()), request.name)  # type: ignore[arg-type]
+    client, server = Conn(loop, one, task, lines.EARLY), Conn(loop, other, task, nats.SERVER_MAX)
+    for conn, data in zip((client, server), early):
         conn.readable = conn.writable = True
         conn.inbox.put(data)
-    task.gen = front.take(consumer, server, invocation, state)
+    task.gen = front.take(client, server, request, state)
 
 
 class Proxy:
@@ -239,7 +239,7 @@
         return ""
 
     def drain(self) -> None:
-        """This process is to end: consumers and the fleet are told."""
+        """This process is to end: clients and the fleet are told."""
         self.relay.drain()
         if self.keeper is not None:
             self.keeper.leave()
@@ -257,22 +257,22 @@
             station.save(facade.cordoned)
             handover.tell_cordon(server, out)
 
-        def give(invocation: Invocation, consumer: Consumer) -> bool:
-            passage = consumer.passage
+        def give(request: Request, client: Client) -> bool:
+            passage = client.passage
             if passage is None or not passage.at_rest():
                 return False
-            state = facade.export(invocation) | consumer.export() | passage.export()
-            return handover.give(state, passage.consumer, passage.server)
+            state = facade.export(request) | client.export() | passage.export()
+            return handover.give(state, passage.client, passage.server)
 
         def take(state: dict[str, Any], one: socket.socket, other: socket.socket) -> None:
-            invocation = facade.imported(state)
+            request = facade.imported(state)
             front = self.front if state["wire"] == "lines" else self.nats_front
             if front is None:
                 raise ValueError("its front is not open here")
-            take_up(self.loop, front, invocation, state, one, other)
+            take_up(self.loop, front, request, state, one, other)
 
         def retire() -> None:
-            log("upgrade.note", f"upgrade: the new process serves; {len(relay.live)} invocations go there")
+            log("upgrade.note", f"upgrade: the new process serves; {len(relay.live)} requests go there")
             relay.give(give, lambda: handover.link is not None and bool(handover.link.out))
             if self.agreement is not None:
                 self.agreement.stop()
--- a/arrowseam/relay.py
+++ b/arrowseam/relay.py
@@ -1,8 +1,8 @@
-"""The core: an invocation's life from its arrival to its end.
+"""The core: a request's life from its arrival to its end.
 
 It owns the order of things: pick, call, report, next; one final answer; the old call closed before the next
 opens; moves, and the drain at the end of the process. It must never know a wire (a front hands it a
-``Consumer`` that does), decide where an invocation goes, or have two calls out for one invocation.
+``Client`` that does), decide where a request goes, or have two calls out for one request.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from typing import Any
 
 from arrowseam.config.proxy import Config
-from arrowseam.facade import Call, Facade, Invocation, Left, Rejection
+from arrowseam.facade import Call, Facade, Left, Rejection, Request
 from arrowseam.logs import log
 from arrowseam.net.address import Address, parse_address
 from arrowseam.net.loop import MS, SECOND, Conn, Listener, Loop, Passage, Steps, clock
 
 # A server that brings nothing back for so long though it was asked is taken for lost: sound ones answer
-# within a millisecond, and a consumer that stays there is served nothing.
+# within a millisecond, and a client that stays there is served nothing.
 MUTE = SECOND
 AGAIN = 200 * MS  # between two tries to reach the server of a standing connection
 REJECT_MS = 500  # when to come back, where it is not the module that refuses
-DRAIN_START = 450 * MS  # after the signal the front still sends new consumers for a while
+DRAIN_START = 450 * MS  # after the signal the front still sends new clients for a while
 DRAIN_CAP = 3 * SECOND  # a longer deadline counts as this
 DRAIN_EXTRA = 700 * MS  # from the deadline to the end of the process
-DRAIN_SPARE = 1100 * MS  # by so much earlier the last consumer has been told
+DRAIN_SPARE = 1100 * MS  # by so much earlier the last client has been told
 DRAIN_QUEUE = 150 * MS  # from the start of the moves, at least, until nobody is taken any more
 DRAIN_LEFT = 100 * MS  # before the end allowed whoever has had an answer and still does not go is left
 
@@ -37,8 +37,8 @@
     pass
 
 
-class Consumer(ABC):
-    """One consumer, with the call under way for it or the server that took it; a front knows its wire."""
+class Client(ABC):
+    """One client, with the call under way for it or the server that took it; a front knows its wire."""
 
     passage: Passage | None = None  # once it is established
     early = 16384  # bytes that a server may say before it is passed through
@@ -65,7 +65,7 @@
 
     @abstractmethod
     def last_word(self) -> bytes:
-        """What asks a consumer to come again."""
+        """What asks a client to come again."""
 
     @abstractmethod
     def reject(self, retry_ms: int) -> Steps[None]:
@@ -94,7 +94,7 @@
     # --- what holds on any wire ---
 
     def call(self, server_name: str, found: Address, due: int, stop: Callable[[], bool]) -> Steps[str]:
-        """Make one invoker call; 'up', or how it ended, and then it is closed."""
+        """Make one attempt; 'up', or how it ended, and then it is closed."""
         address = self.address(server_name, found)
         if address is None:
             return "unreachable"
@@ -112,7 +112,7 @@
             end = yield from self.greet(server, due, stop)
         finally:
             if end != "up":
-                server.close()  # before anything else is tried for this invocation
+                server.close()  # before anything else is tried for this request
         return end
 
     def mute_since(self) -> int | None:
@@ -148,7 +148,7 @@
 class Figures:
     """What has happened since the process began, counted where it happens.
 
-    An invocation counts once, under its class's name, so that a class that is dropped keeps its figures.
+    A request counts once, under its class's name, so that a class that is dropped keeps its figures.
     """
 
     def __init__(self) -> None:
@@ -165,7 +165,7 @@
         self.ask: Callable[[bool], None] = lambda whole: None
         self.probe: Callable[[str], object] = lambda server: None
         self.figures = Figures()
-        self.live: dict[int, Invocation] = {}  # every invocation that is not over
+        self.live: dict[int, Request] = {}  # every request that is not over
         self.count = 0
         self.draining = False
         self.trace = False  # log every call and every end
@@ -173,7 +173,7 @@
         self.listeners: list[Listener] = []  # closed when the drain is over
         self.closing = False  # they are: who has not said yet what it wants is answered and ended
         # Set while another process of this proxy takes what stands; whether it has been sent there.
-        self.pass_on: Callable[[Invocation, Consumer], bool] | None = None
+        self.pass_on: Callable[[Request, Client], bool] | None = None
         self.pending: Callable[[], bool] = lambda: False  # whether some of it is still on its way there
         self.quiet = 0
         loop.turn = self.turn
@@ -187,9 +187,9 @@
             self.ask(turn.fetch)
         for server in turn.probes:
             self.probe(server)
-        for invocation in turn.moves:
-            invocation.move = True
-            invocation.wake()
+        for request in turn.moves:
+            request.move = True
+            request.wake()
         return turn.wake_at
 
     @property
@@ -198,229 +198,229 @@
         limits = self.config.settings.limits
         return min(REJECT_MS, limits.max_retry_after // MS) if limits.retry_after else 0
 
-    def _fits(self, invocation: Invocation) -> bool:
+    def _fits(self, request: Request) -> bool:
         """Whether the opening may go to its server now: the client is there, nothing forbids it since."""
         self.loop.look()
-        if invocation.server:
-            return not invocation.left()
-        return not invocation.stop() and self.facade.may_begin(invocation)
+        if request.server:
+            return not request.left()
+        return not request.stop() and self.facade.may_begin(request)
 
-    def dispatched(self, invocation: Invocation) -> None:
+    def dispatched(self, request: Request) -> None:
         """A front has written the whole opening to a server."""
-        invocation.written = True
+        request.written = True
         self.figures.dispatches += 1
 
     def _up(self, began: int) -> None:
         self.figures.ups += 1
         self.figures.up_log += math.log(max(1.0, (clock() - began) / MS))
 
-    def _answered(self, invocation: Invocation, how: str) -> None:
-        self.figures.answers[invocation.klass_name, how] += 1
-        invocation.over = how != "success"
+    def _answered(self, request: Request, how: str) -> None:
+        self.figures.answers[request.klass_name, how] += 1
+        request.over = how != "success"
 
     @property
     def concurrent(self) -> int:
         """Connections taken and not ended; one that only hears our last word has ended for its peers."""
-        return sum(not invocation.over for invocation in self.live.values())
+        return sum(not request.over for request in self.live.values())
 
-    # --- one invocation ---
+    # --- one request ---
 
-    def serve(self, invocation: Invocation, consumer: Consumer) -> Steps[None]:
+    def serve(self, request: Request, client: Client) -> Steps[None]:
         """From the opening that a front has read to the end of the connection."""
         if self.draining and self.pass_on is None:
             # Read after the word to end: there is no telling that its answer would still come in time.
-            self._answered(invocation, "overload")
-            yield from consumer.reject(self.retry_ms)
+            self._answered(request, "overload")
+            yield from client.reject(self.retry_ms)
             return
-        yield from self._serve(invocation, consumer, self._place)
+        yield from self._serve(request, client, self._place)
 
     def _serve(
         self,
-        invocation: Invocation,
-        consumer: Consumer,
-        life: Callable[[Invocation, Consumer], Steps[None]],
+        request: Request,
+        client: Client,
+        life: Callable[[Request, Client], Steps[None]],
     ) -> Steps[None]:
         self.count += 1
         number = self.count
-        self.live[number] = invocation
+        self.live[number] = request
         task = self.loop.current
-        invocation.wake = lambda: self.loop.wake(task)
-        consumer.sent = lambda: self.dispatched(invocation)
-        consumer.fits = lambda: self._fits(invocation)
+        request.wake = lambda: self.loop.wake(task)
+        client.sent = lambda: self.dispatched(request)
+        client.fits = lambda: self._fits(request)
         try:
-            yield from life(invocation, consumer)
+            yield from life(request, client)
         except Exception:
-            # A fault here must not leave the module holding what is gone, nor a consumer without its answer.
-            self.facade.gone(invocation)
-            if not invocation.open:
-                self._answered(invocation, "error")
-                yield from consumer.fail()
+            # A fault here must not leave the module holding what is gone, nor a client without its answer.
+            self.facade.gone(request)
+            if not request.open:
+                self._answered(request, "error")
+                yield from client.fail()
             raise
         finally:
-            consumer.close()
-            self.facade.gone(invocation)
+            client.close()
+            self.facade.gone(request)
             del self.live[number]
             # Each knows the other by these: left so, only the collector would free what a connection held.
-            consumer.sent = invocation.wake = _nothing
-            consumer.fits = bool
+            client.sent = request.wake = _nothing
+            client.fits = bool
 
-    def _place(self, invocation: Invocation, consumer: Consumer) -> Steps[None]:
-        find = self._resume if invocation.server else self._find
+    def _place(self, request: Request, client: Client) -> Steps[None]:
+        find = self._resume if request.server else self._find
         self.loop.promised += 1
         try:
-            stands = yield from find(invocation, consumer)
+            stands = yield from find(request, client)
         finally:
             self.loop.promised -= 1
         if stands:
-            yield from self._hold(invocation, consumer)
+            yield from self._hold(request, client)
 
-    def _find(self, invocation: Invocation, consumer: Consumer) -> Steps[bool]:
+    def _find(self, request: Request, client: Client) -> Steps[bool]:
         """Try one server after the other as the module says, or give the final answer; whether it stands."""
         began = clock()
         while True:
-            answer = yield from self.facade.pick(invocation)
+            answer = yield from self.facade.pick(request)
             if isinstance(answer, Call):
                 address = self.address(answer.server)
                 if address is None:
                     end = "unreachable"
                 else:
-                    end = yield from consumer.call(answer.server, address, answer.due, invocation.stop)
-                self._note_call(invocation, answer.server, end, invocation.called_at)
+                    end = yield from client.call(answer.server, address, answer.due, request.stop)
+                self._note_call(request, answer.server, end, request.called_at)
                 if end == "up":
                     self._up(began)
-                    self._answered(invocation, "success")
-                    self.facade.report(invocation, "up")
+                    self._answered(request, "success")
+                    self.facade.report(request, "up")
                     return True
                 if end == "ok":
-                    self._answered(invocation, "success")
-                    self.facade.report(invocation, "ok")
-                    invocation.over = True
-                    yield from consumer.finish(clock() + SECOND)
+                    self._answered(request, "success")
+                    self.facade.report(request, "ok")
+                    request.over = True
+                    yield from client.finish(clock() + SECOND)
                     return False
-                if end == "off":  # called off, forbidden meanwhile, or the consumer has left, which pick sees
-                    end = "moved" if invocation.written else "unsent"
-                self.facade.report(invocation, end)
+                if end == "off":  # called off, forbidden meanwhile, or the client has left, which pick sees
+                    end = "moved" if request.written else "unsent"
+                self.facade.report(request, end)
             elif isinstance(answer, Left):
                 return False
             elif isinstance(answer, Rejection):
                 if self.trace:
                     log(
                         "connection.refused",
-                        f"rejection: {invocation.name} for {answer.retry_ms} ms",
+                        f"rejection: {request.name} for {answer.retry_ms} ms",
                         "debug",
                         retry_ms=answer.retry_ms,
                     )
-                self._answered(invocation, "overload")
-                yield from consumer.reject(answer.retry_ms)
+                self._answered(request, "overload")
+                yield from client.reject(answer.retry_ms)
                 return False
             else:
-                self._answered(invocation, "error")
-                yield from consumer.fail()
+                self._answered(request, "error")
+                yield from client.fail()
                 return False
 
-    def _note_call(self, invocation: Invocation, server: str, end: str, began: int) -> None:
+    def _note_call(self, request: Request, server: str, end: str, began: int) -> None:
         if not self.trace:
             return
         spent = (clock() - began) // MS
-        group = f", group {invocation.group:x}" if invocation.group else ""
+        group = f", group {request.group:x}" if request.group else ""
         log(
             "call.ended",
-            f"call: {invocation.name} at {server}: {end} after {spent} ms{group}",
+            f"call: {request.name} at {server}: {end} after {spent} ms{group}",
             "debug",
             server=server,
             end=end,
             ms=spent,
-            group=invocation.group,
+            group=request.group,
         )
 
-    def _resume(self, invocation: Invocation, consumer: Consumer) -> Steps[bool]:
+    def _resume(self, request: Request, client: Client) -> Steps[bool]:
         """A connection that stood before this process did: its own server or none, until time is up."""
-        while not invocation.left():
-            address = self.address(invocation.server)
+        while not request.left():
+            address = self.address(request.server)
             if address is not None:
                 began = clock()
-                end = yield from consumer.call(invocation.server, address, invocation.due, invocation.left)
-                self._note_call(invocation, invocation.server, end, began)
+                end = yield from client.call(request.server, address, request.due, request.left)
+                self._note_call(request, request.server, end, began)
                 if end == "up":
-                    self._answered(invocation, "success")
-                    self.facade.adopt(invocation)
+                    self._answered(request, "success")
+                    self.facade.adopt(request)
                     return True
                 log(
                     "connection.standing",
-                    f"standing connection {invocation.name} at {invocation.server}: {end}",
+                    f"standing connection {request.name} at {request.server}: {end}",
                 )
-            if clock() + AGAIN >= invocation.due:
-                self._answered(invocation, "error")
-                yield from consumer.fail()
+            if clock() + AGAIN >= request.due:
+                self._answered(request, "error")
+                yield from client.fail()
                 return False
             again = clock() + AGAIN
-            while clock() < again and not invocation.left():
+            while clock() < again and not request.left():
                 yield again
         return False
 
-    def give(self, pass_on: Callable[[Invocation, Consumer], bool], pending: Callable[[], bool]) -> None:
+    def give(self, pass_on: Callable[[Request, Client], bool], pending: Callable[[], bool]) -> None:
         """From now on what stands goes to another process; what is being placed does when it stands."""
         self.pass_on, self.pending = pass_on, pending
-        for invocation in self.live.values():
-            invocation.wake()
+        for request in self.live.values():
+            request.wake()
 
-    def take(self, invocation: Invocation, consumer: Consumer) -> Steps[None]:
+    def take(self, request: Request, client: Client) -> Steps[None]:
         """Go on with what stood at another process of this proxy."""
-        yield from self._serve(invocation, consumer, self._taken)
+        yield from self._serve(request, client, self._taken)
 
-    def _taken(self, invocation: Invocation, consumer: Consumer) -> Steps[None]:
-        self.facade.adopt(invocation)
-        yield from self._hold(invocation, consumer)
+    def _taken(self, request: Request, client: Client) -> Steps[None]:
+        self.facade.adopt(request)
+        yield from self._hold(request, client)
 
-    def _hold(self, invocation: Invocation, consumer: Consumer) -> Steps[None]:
+    def _hold(self, request: Request, client: Client) -> Steps[None]:
         """From the moment it stands to its end."""
         while True:
-            end = consumer.step()
-            for level in consumer.loads():
-                self.facade.note(invocation, level)
+            end = client.step()
+            for level in client.loads():
+                self.facade.note(request, level)
             if end is not None:
                 if self.trace:
-                    mute = consumer.mute_since()
+                    mute = client.mute_since()
                     waited = "" if mute is None else f", unanswered for {(clock() - mute) // MS} ms"
                     log(
                         "connection.ended",
-                        f"end: {invocation.name} at {self.facade.names[invocation.backend]}: {end}{waited}",
+                        f"end: {request.name} at {self.facade.names[request.backend]}: {end}{waited}",
                         "debug",
                         end=end,
                     )
                 self.figures.resets += end == "reset"
-                self.facade.report(invocation, "moved" if end == "left" else end)
-                invocation.over = True
-                yield from consumer.finish(clock() + SECOND)
+                self.facade.report(request, "moved" if end == "left" else end)
+                request.over = True
+                yield from client.finish(clock() + SECOND)
                 return
-            mute = consumer.mute_since()
+            mute = client.mute_since()
             if mute is not None and clock() >= mute + MUTE:
                 # Nothing was said and nothing comes: guards against a machine that has vanished silently.
                 log(
                     "connection.mute",
-                    f"mute: {invocation.name} moved off a server that brings nothing back",
+                    f"mute: {request.name} moved off a server that brings nothing back",
                 )
-                self.facade.report(invocation, "reset")
-                invocation.over = True
-                yield from consumer.farewell(clock() + SECOND)
+                self.facade.report(request, "reset")
+                request.over = True
+                yield from client.farewell(clock() + SECOND)
                 return
-            if self.pass_on is not None and not invocation.move:
-                if self.pass_on(invocation, consumer):
-                    self.facade.report(invocation, "moved")
+            if self.pass_on is not None and not request.move:
+                if self.pass_on(request, client):
+                    self.facade.report(request, "moved")
                     return  # closing our copies tells nobody anything: the other process holds them too
                 yield clock() + 20 * MS  # in the middle of a message: soon again
                 continue
-            if invocation.move:
+            if request.move:
                 if self.trace:
                     log(
                         "connection.moved",
-                        f"move: {invocation.name} off {self.facade.names[invocation.backend]}",
+                        f"move: {request.name} off {self.facade.names[request.backend]}",
                         "debug",
                     )
-                yield from consumer.farewell(clock() + SECOND)
-                self.facade.report(invocation, "moved")
+                yield from client.farewell(clock() + SECOND)
+                self.facade.report(request, "moved")
                 return
-            times = [at for at in (consumer.look_at(), mute and mute + MUTE) if at is not None]
+            times = [at for at in (client.look_at(), mute and mute + MUTE) if at is not None]
             yield min(times, default=None)
 
     def address(self, server: str) -> Address | None:
@@ -435,7 +435,7 @@
     def drain(self) -> None:
         if not self.draining:
             self.draining = True
-            log("drain.begun", f"draining: {len(self.live)} invocations")
+            log("drain.begun", f"draining: {len(self.live)} requests")
             self.loop.spawn(self._drain(clock()), "drain")
 
     def _drain(self, began: int) -> Steps[None]:
@@ -456,14 +456,14 @@
             # What is left, over what is left of the time; all that remains at the last moment.
             left = max(1, (last - now) // (50 * MS))
             count = len(standing) if now >= last else -(-len(standing) // left)
-            for invocation in self.random.sample(standing, count):
-                invocation.move = True
-                invocation.wake()
+            for request in self.random.sample(standing, count):
+                request.move = True
+                request.wake()
             if now >= last:
-                for invocation in self.live.values():
-                    if not invocation.open and not invocation.dismissed:
-                        invocation.dismissed = True
-                        invocation.wake()
+                for request in self.live.values():
+                    if not request.open and not request.dismissed:
+                        request.dismissed = True
+                        request.wake()
             if not self.closing and now >= start + DRAIN_QUEUE and (now >= last or not self.live):
                 for listener in self.listeners:
                     listener.close()
--- a/tests/network.py
+++ b/tests/network.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from arrowseam.config.proxy import read_config
-from arrowseam.lab.standins import WORDS, Consumer, Server, free_port
+from arrowseam.lab.standins import WORDS, Client, Server, free_port
 from arrowseam.net.loop import SECOND, Conn, Loop, Steps, clock
 from arrowseam.net.nats import read_nats_config
 from arrowseam.proxy import Proxy
@@ -124,8 +124,8 @@
         self.told = [server.row | rows[server.name] for server in self.servers if server.name in rows]
         self.version += 1
 
-    def consumer(self, number: int = 1, klass: bytes = b"tech", more: bytes = b"") -> Consumer:
-        return Consumer(self, self.words["open"](number, klass) + more)
+    def client(self, number: int = 1, klass: bytes = b"tech", more: bytes = b"") -> Client:
+        return Client(self, self.words["open"](number, klass) + more)
 
     def until(self, condition: Callable[[], Any], seconds: float = 5.0) -> None:
         """Run the world until the condition holds."""
@@ -149,11 +149,11 @@
         end = time.monotonic() + seconds
         self.until(lambda: time.monotonic() >= end, seconds + 5)
 
-    def up(self, count: int = 1, **fields: Any) -> list[Consumer]:
-        """Consumers that have been served. Where the machine stood still meanwhile, others are tried: to the
+    def up(self, count: int = 1, **fields: Any) -> list[Client]:
+        """Clients that have been served. Where the machine stood still meanwhile, others are tried: to the
         proxy, a stand-in on its own loop is then a server that does not answer."""
         for _ in range(3):
-            found = [self.consumer(next(self.numbers), **fields) for _ in range(count)]
+            found = [self.client(next(self.numbers), **fields) for _ in range(count)]
             self.until(lambda found=found: all(c.answers for c in found))
             if all(c.has("up") for c in found):
                 return found
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -82,16 +82,16 @@
         yield None
 
     for n in range(5):
-        w.loop.spawn(note(f"consumer {n}"), "consumer")
+        w.loop.spawn(note(f"client {n}"), "client")
     w.loop.spawn(note("control"), "control", urgent=True)
     w.run(0.02)
     assert order[0] == "control" and len(order) == 6
 
 
-def test_control_has_descriptors_when_consumers_have_none(world):
+def test_control_has_descriptors_when_clients_have_none(world):
     w = world("up")
     w.loop.sockets = len(w.loop.conns) + 10
-    refused = w.consumer()
+    refused = w.client()
     w.until(lambda: refused.ended_at)
     assert refused.has("rejected") and w.control(b"health\n") == b"ACK\n"
 
@@ -100,7 +100,7 @@
     w = world("up", "busy", "error")
     served = w.up(12)
     w.servers[0].mode = "busy"
-    turned = [w.consumer(next(w.numbers), b"resident") for _ in range(5)]
+    turned = [w.client(next(w.numbers), b"resident") for _ in range(5)]
     w.until(lambda: all(c.ended_at for c in turned))
     found = w.figures()
     assert found["edge.replies.tech.success"] == len(served)
@@ -115,7 +115,7 @@
     assert w.figures()["edge.concurrent"] == len(served) - 1
 
 
-def test_a_cordoned_server_is_sent_nothing_and_its_consumers_are_moved(world):
+def test_a_cordoned_server_is_sent_nothing_and_its_clients_are_moved(world):
     w = world("up", "up")
     w.up(12)
     before = len(w.servers[0].heard)
@@ -147,9 +147,9 @@
         return address(server)
 
     w.relay.address = watched
-    consumer = w.consumer()
-    w.until(lambda: consumer.answers)
-    assert consumer.has("up") and picked[0] != picked[1]
+    client = w.client()
+    w.until(lambda: client.answers)
+    assert client.has("up") and picked[0] != picked[1]
     first = w.servers[int(picked[0][1])]
     assert not any(b"OPEN" in got or b"CONNECT" in got for got in first.heard)
     assert not w.relay.facade.balancer.struck  # it is no fault of the server's
@@ -163,14 +163,14 @@
     def once(*events: object) -> None:
         feed(*events)
         if isinstance(events[0], api.Request) and not chosen:
-            (invocation,) = facade.invocations.values()
-            chosen.append(facade.names[invocation.backend])
+            (request,) = facade.requests.values()
+            chosen.append(facade.names[request.backend])
             facade.cordon(chosen[0], True)
 
     facade._feed = once
-    consumer = w.consumer()
-    w.until(lambda: consumer.answers)
-    assert consumer.has("up") and not w.servers[int(chosen[0][1])].heard
+    client = w.client()
+    w.until(lambda: client.answers)
+    assert client.has("up") and not w.servers[int(chosen[0][1])].heard
 
 
 # --- the module by itself ---------------------------------------------------------------------------------
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -168,12 +168,12 @@
     """All were told that trying again is harmless, whatever a silent server may have done meanwhile."""
     one = SETTINGS["caps"] | {"max_attempts": 1}  # which has all the time there is
     w = world("silent", caps=one, **lane(effect, **fields))
-    consumer = w.consumer()
+    client = w.client()
     w.until(openings_of(w))
     w.relay.drain()
-    w.until(lambda: consumer.ended_at)
-    assert consumer.ended_at - consumer.began < 1.75 * SECOND  # by the drain, not by its deadline
-    assert consumer.has(word) and consumer.answers == 1
+    w.until(lambda: client.ended_at)
+    assert client.ended_at - client.began < 1.75 * SECOND  # by the drain, not by its deadline
+    assert client.has(word) and client.answers == 1
 
 
 def openings_of(w: World) -> Callable[[], int]:
@@ -183,13 +183,13 @@
 def test_a_request_between_two_attempts_at_the_end_has_one_answer_and_no_further_attempt(world):
     """Its server has refused it, and none other is to be had before the last moment."""
     w = world("busy", "up", known=False)
-    consumer = w.consumer()
+    client = w.client()
     w.until(lambda: w.relay.live)
     w.tell(s0={})
     w.until(openings_of(w))
     w.relay.drain()
-    w.until(lambda: consumer.ended_at)
-    assert consumer.has("rejected") and consumer.answers == 1 and openings(w) == 1
+    w.until(lambda: client.ended_at)
+    assert client.has("rejected") and client.answers == 1 and openings(w) == 1
     w.tell(s1={})
     w.until(lambda: w.relay.closing)
     assert not w.servers[1].heard
@@ -197,28 +197,28 @@
 
 def test_what_could_not_have_run_is_refused_at_the_end_whatever_its_class(world):
     w = world("up", known=False, **lane("fragile"))
-    consumer = w.consumer()
+    client = w.client()
     w.until(lambda: w.relay.live)
     w.relay.drain()
-    w.until(lambda: consumer.ended_at)
-    assert consumer.has("rejected") and consumer.answers == 1
+    w.until(lambda: client.ended_at)
+    assert client.has("rejected") and client.answers == 1
 
 
 def test_a_server_that_takes_it_as_the_end_comes_serves_it_and_it_is_moved(world):
     """UP in the round in which the last moment comes: one answer, and never a cut without MOVE."""
     w = world("silent", caps=SETTINGS["caps"] | {"max_attempts": 1})  # which has all the time there is
-    consumer = w.consumer()
+    client = w.client()
     w.until(openings_of(w))
     w.relay.drain()
-    (invocation,) = w.relay.live.values()
+    (request,) = w.relay.live.values()
 
-    w.until(lambda: invocation.dismissed)
+    w.until(lambda: request.dismissed)
     w.servers[0].say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
-    w.until(lambda: consumer.ended_at)
-    moved = consumer.has("moved")
-    # The silent server's one PONG is for our PING; the consumer's own is never answered there.
-    assert consumer.answers == (1 if w.wire == "lines" or not moved else 0)
-    assert moved or consumer.has("rejected")
+    w.until(lambda: client.ended_at)
+    moved = client.has("moved")
+    # The silent server's one PONG is for our PING; the client's own is never answered there.
+    assert client.answers == (1 if w.wire == "lines" or not moved else 0)
+    assert moved or client.has("rejected")
 
 
 def test_a_peer_that_will_not_go_does_not_hold_the_process_beyond_its_time(world):
@@ -243,11 +243,11 @@
 
 def test_half_a_line_of_a_server_is_no_reason_to_be_cut_without_move(world):
     w = world("up")
-    (consumer,) = w.up()
+    (client,) = w.up()
     w.servers[0].say(w.words["half"])
     w.relay.drain()
-    w.until(lambda: consumer.ended_at and w.loop.stopped)
-    assert consumer.has("moved") and w.words["half"] not in consumer.got
+    w.until(lambda: client.ended_at and w.loop.stopped)
+    assert client.has("moved") and w.words["half"] not in client.got
 
 
 def test_signals_during_the_drain_change_nothing_about_its_end(world, tmp_path):
@@ -281,7 +281,7 @@
     w.tell(s0={})
     w.until(lambda: not w.relay.live and w.relay.facade.ready)
     w.run(0.2)
-    assert not openings(w) and not w.relay.facade.invocations
+    assert not openings(w) and not w.relay.facade.requests
 
 
 @pytest.mark.parametrize("how", GONE)
@@ -303,18 +303,18 @@
     report = w.relay.facade.report
     ends: list[str] = []
 
-    def reported(invocation: Any, end: str) -> None:
+    def reported(request: Any, end: str) -> None:
         ends.append(end)
         if len(ends) == 1:
             raw.leave(how)
             stall(0.12)
-        report(invocation, end)
+        report(request, end)
 
     monkeypatch.setattr(w.relay.facade, "report", reported)
     raw.open()
     w.until(lambda: ends and not w.relay.live)
     w.run(0.1)
-    assert openings(w) == 1 and not w.relay.facade.invocations
+    assert openings(w) == 1 and not w.relay.facade.requests
 
 
 @pytest.mark.parametrize("how", GONE)
@@ -388,10 +388,10 @@
             yield until
 
     calls = late_connect(w, monkeypatch, comes_late)
-    consumer = w.consumer()
-    w.until(lambda: consumer.ended_at)
+    client = w.client()
+    w.until(lambda: client.ended_at)
     assert len(calls) == 2 and openings(w) == 1
-    assert consumer.has("rejected") and consumer.answers == 1
+    assert client.has("rejected") and client.answers == 1
 
 
 def test_a_server_that_drains_while_a_request_waits_is_not_chosen(world):
@@ -445,7 +445,7 @@
 @pytest.mark.parametrize("reset", [False, True])
 def test_an_answer_that_breaks_off_is_none(plain, said, reset):
     w = plain("silent", "silent", "up")
-    consumer = w.consumer()
+    client = w.client()
 
     def broken_off() -> bool:
         for server in w.servers[:2]:
@@ -453,10 +453,10 @@
                 if any(b"OPEN" in got for got in server.heard) and not conn.closed:
                     conn.push(said)
                     conn.close(reset=reset)
-        return consumer.answers > 0
+        return client.answers > 0
 
     w.until(broken_off)
-    assert consumer.has("up") and consumer.answers == 1 and bytes(consumer.got).count(b"UP") == 1
+    assert client.has("up") and client.answers == 1 and bytes(client.got).count(b"UP") == 1
 
 
 def test_a_connection_that_never_comes_up_is_left_at_its_limit_and_has_never_run(world):
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 import pytest
-from network import SETTINGS, Consumer, World
+from network import SETTINGS, Client, World
 
-from arrowseam.facade import Invocation
+from arrowseam.facade import Request
 from arrowseam.net.loop import SECOND, Conn, Steps, clock
 
 
@@ -32,33 +32,33 @@
 @pytest.mark.parametrize("mode", ["busy", "error", "reset", "half"])
 def test_a_call_that_fails_is_followed_by_the_next_and_never_overlaps_it(world, mode):
     w = world(mode, "up")
-    seen = [w.consumer(n) for n in range(4)]
+    seen = [w.client(n) for n in range(4)]
     w.until(lambda: all(c.answers for c in seen))
     w.run(0.05)
     assert all(c.answers == 1 for c in seen)
     assert any(c.has("up") for c in seen)
-    # Nothing of an earlier call may be out when the next begins: one consumer, one call.
+    # Nothing of an earlier call may be out when the next begins: one client, one call.
     w2 = world(mode, mode, "up")
-    w2.consumer()
+    w2.client()
     w2.until(lambda: w2.servers[2].live or sum(len(s.heard) for s in w2.servers) >= 2)
     assert w2.most_flying == 1
 
 
-def test_a_consumer_that_none_takes_is_refused_at_once_and_told_when_to_come(world):
+def test_a_client_that_none_takes_is_refused_at_once_and_told_when_to_come(world):
     """Never held back: the module has given up, and says when to come again."""
     w = world("busy", "busy")
-    consumer = w.consumer()
-    w.until(lambda: consumer.ended_at)
-    assert consumer.has("rejected") and consumer.answers == 1
-    assert consumer.ended_at - consumer.began < SECOND
+    client = w.client()
+    w.until(lambda: client.ended_at)
+    assert client.has("rejected") and client.answers == 1
+    assert client.ended_at - client.began < SECOND
 
 
-def test_the_answer_comes_before_the_consumer_gives_up(world):
+def test_the_answer_comes_before_the_client_gives_up(world):
     w = world("silent", "silent")
-    consumer = w.consumer(klass=b"resident")
-    w.until(lambda: consumer.ended_at)
-    assert consumer.answers == 1 and not consumer.has("up")
-    assert consumer.ended_at - consumer.began <= 0.658 * SECOND  # with the rules' slack
+    client = w.client(klass=b"resident")
+    w.until(lambda: client.ended_at)
+    assert client.answers == 1 and not client.has("up")
+    assert client.ended_at - client.began <= 0.658 * SECOND  # with the rules' slack
 
 
 def test_nothing_new_goes_to_a_server_that_drains(world):
@@ -85,80 +85,80 @@
 
 def test_messages_pass_both_ways(world):
     w = world("up")
-    (consumer,) = w.up()
-    consumer.say(w.words["ask"])
-    w.until(lambda: consumer.has("reply"))
+    (client,) = w.up()
+    client.say(w.words["ask"])
+    w.until(lambda: client.has("reply"))
     assert w.words["ask"] in w.servers[0].heard[0]
 
 
 def test_large_messages_arrive_whole_though_the_reader_is_slow(world):
     """Guards against lost bytes at partial writes and full buffers."""
     w = world("up")
-    (consumer,) = w.up()
-    consumer.reading = False
+    (client,) = w.up()
+    client.reading = False
     size = 400_000
     nats = w.wire == "nats"
     text = b"x" * 998 + b"\r\n"
     data = b"MSG a 1 %d\r\n" % size + text * (size // 1000) + b"\r\n" if nats else text * (size // 1000)
     w.loop.spawn(w.servers[0].live[0].send(data, clock() + 5 * SECOND), "flood")
     w.run(0.05)
-    consumer.reading = True
-    w.loop.wake(consumer.conn.owner)
-    w.until(lambda: len(consumer.got) >= size)
-    assert bytes(consumer.got).endswith(data)
+    client.reading = True
+    w.loop.wake(client.conn.owner)
+    w.until(lambda: len(client.got) >= size)
+    assert bytes(client.got).endswith(data)
 
 
 def test_a_move_goes_between_two_messages(world):
     w = world("up")
-    (consumer,) = w.up()
+    (client,) = w.up()
     w.servers[0].say(w.words["half"])
-    (invocation,) = w.relay.live.values()
-    invocation.move = True
-    invocation.wake()
+    (request,) = w.relay.live.values()
+    request.move = True
+    request.wake()
     w.run(0.05)
-    assert not consumer.has("moved")
+    assert not client.has("moved")
     w.servers[0].say(w.words["rest"])
-    w.until(lambda: consumer.ended_at)
-    text = bytes(consumer.got)
+    w.until(lambda: client.ended_at)
+    text = bytes(client.got)
     assert text.index(w.words["half"] + w.words["rest"]) < text.index(w.words["moved"])
     assert text.endswith(w.words["moved"])
     w.until(lambda: not w.servers[0].live)
 
 
-def test_a_server_that_brings_nothing_back_loses_its_consumer(world):
+def test_a_server_that_brings_nothing_back_loses_its_client(world):
     w = world("deaf")
-    (consumer,) = w.up()
-    consumer.say(w.words["ask"])
-    w.until(lambda: consumer.ended_at)
-    assert consumer.has("moved") and consumer.ended_at - consumer.began < 4 * SECOND
+    (client,) = w.up()
+    client.say(w.words["ask"])
+    w.until(lambda: client.ended_at)
+    assert client.has("moved") and client.ended_at - client.began < 4 * SECOND
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_what_a_server_ends_is_ended_for_its_consumer(world, reset):
+def test_what_a_server_ends_is_ended_for_its_client(world, reset):
     w = world("up")
-    (consumer,) = w.up()
+    (client,) = w.up()
     w.servers[0].live[0].close(reset=reset)
     began = clock()
-    w.until(lambda: consumer.ended_at and not w.relay.live)
-    assert consumer.ended_at - began < SECOND
+    w.until(lambda: client.ended_at and not w.relay.live)
+    assert client.ended_at - began < SECOND
 
 
-def test_what_a_consumer_ends_is_ended_at_its_server(world):
+def test_what_a_client_ends_is_ended_at_its_server(world):
     w = world("up")
-    (consumer,) = w.up()
-    consumer.conn.close()
+    (client,) = w.up()
+    client.conn.close()
     w.until(lambda: not w.servers[0].live and not w.relay.live)
 
 
-def test_a_consumer_that_leaves_early_ends_its_call_and_gets_no_other(world):
+def test_a_client_that_leaves_early_ends_its_call_and_gets_no_other(world):
     w = world("silent", "silent")
-    consumer = w.consumer()
+    client = w.client()
     w.until(lambda: w.flying)
-    consumer.conn.close()
+    client.conn.close()
     w.until(lambda: not w.flying and not w.relay.live)
     w.run(0.4)
     assert sum(len(s.heard) for s in w.servers) == 1
-    assert not w.relay.facade.invocations
+    assert not w.relay.facade.requests
 
 
 def test_a_drain_moves_all_spread_over_the_time_and_refuses_who_comes(world):
@@ -167,7 +167,7 @@
     seen = w.up(12)
     w.relay.drain()
     heard = sum(len(s.heard) for s in w.servers)
-    late = w.consumer(99)
+    late = w.client(99)
     w.until(lambda: late.ended_at)
     assert late.has("rejected") and late.answers == 1 and late.ended_at - late.began < SECOND // 2
     w.until(lambda: not w.relay.live and w.loop.stopped)
@@ -179,32 +179,32 @@
 
 def test_a_drain_answers_what_is_not_placed(world):
     w = world("silent")
-    consumer = w.consumer()
+    client = w.client()
     w.until(lambda: w.flying)
     w.relay.drain()
-    w.until(lambda: consumer.ended_at)
-    assert consumer.answers == 1 and consumer.ended_at - consumer.began < (1.8 + 0.7) * SECOND
+    w.until(lambda: client.ended_at)
+    assert client.answers == 1 and client.ended_at - client.began < (1.8 + 0.7) * SECOND
 
 
-def test_where_descriptors_are_scarce_consumers_are_refused_at_once(world):
+def test_where_descriptors_are_scarce_clients_are_refused_at_once(world):
     w = world("up")
     w.loop.sockets = len(w.loop.conns) + 10
-    consumer = w.consumer()
-    w.until(lambda: consumer.ended_at)
-    assert consumer.has("rejected") and not w.servers[0].heard
+    client = w.client()
+    w.until(lambda: client.ended_at)
+    assert client.has("rejected") and not w.servers[0].heard
 
 
 def test_the_mute_are_turned_away_and_not_whoever_comes_next(world):
     """Hundreds that connect and say nothing held every descriptor, and the others were refused for them."""
     w = world("up")
     opening, w.words = w.words, w.words | {"open": lambda n, klass: b""}
-    mute = [w.consumer() for _ in range(30)]
+    mute = [w.client() for _ in range(30)]
     w.until(lambda: len(w.loop.expendable) == 30)
     w.words = opening
     w.loop.sockets = len(w.loop.conns) + 20
-    consumer = w.consumer()
-    w.until(lambda: consumer.answers)
-    assert consumer.has("up")
+    client = w.client()
+    w.until(lambda: client.answers)
+    assert client.has("up")
     gone = [c for c in mute if c.ended_at]
     assert gone and gone == mute[: len(gone)] and all(c.has("rejected") for c in gone)
     w.until(lambda: all(c.ended_at for c in mute))  # nobody else may be mute for long either
@@ -214,7 +214,7 @@
 def test_endless_pings_are_ended_and_others_are_served_meanwhile(world):
     w = world("up")
     opening, w.words = w.words, w.words | {"open": lambda n, klass: b"PING\r\n" * 1000}
-    noisy = w.consumer()
+    noisy = w.client()
     w.words = opening
     w.up()
     w.until(lambda: noisy.ended_at)
@@ -253,7 +253,7 @@
 def test_a_reload_moves_to_the_new_directory_and_keeps_what_stands(world, tmp_path):
     """SIGHUP ended the process; now the old directory is left in mid-call, and its list kept meanwhile."""
     w = world("up", "up")
-    (consumer,) = w.up()
+    (client,) = w.up()
     w.until(lambda: w.calls)
     path, nats = tmp_path / "config.json", tmp_path / "nats.json"
     nats.write_text(json.dumps(w.nats))
@@ -272,30 +272,30 @@
     w.until(lambda: w.relay.facade.ready == 1)
     assert [target for _, target in w.calls[calls : calls + 1]] == ["/api/targets"]
     assert all("since=0&" in target for _, target in w.calls[calls + 1 :])
-    assert not consumer.ended_at and w.up()
+    assert not client.ended_at and w.up()
 
 
 def test_a_fault_in_one_coroutine_ends_that_connection_only(world, monkeypatch, capfd):
     w = world("up")
     (good,) = w.up()
     monkeypatch.setattr(w.relay, "address", lambda name: 1 // 0)
-    bad = w.consumer(2)
+    bad = w.client(2)
     w.until(lambda: bad.ended_at and len(w.relay.live) == 1)
     assert bad.has("failed") and not good.ended_at
     assert "ZeroDivisionError" in capfd.readouterr().err
-    assert len(w.relay.live) == len(w.relay.facade.invocations) == 1
+    assert len(w.relay.live) == len(w.relay.facade.requests) == 1
 
 
 def test_what_came_early_reaches_the_winner_once_and_none_else(world):
-    """The hard case: a server stalls midway through its greeting, the consumer has spoken already."""
+    """The hard case: a server stalls midway through its greeting, the client has spoken already."""
     w = world("half", "half", "half", "up")
     early = b"SUB news 1\r\nPUB a 2\r\nhi\r\n" if w.wire == "nats" else b"early\r\n"
-    consumer = w.consumer(more=early)
-    w.until(lambda: consumer.answers)
-    if consumer.has("up"):
-        w.until(lambda: consumer.has("reply") if w.wire == "nats" else b"early" in consumer.got)
+    client = w.client(more=early)
+    w.until(lambda: client.answers)
+    if client.has("up"):
+        w.until(lambda: client.has("reply") if w.wire == "nats" else b"early" in client.got)
     heard = Counter(s.name for s in w.servers for got in s.heard if early in got)
-    assert heard == ({"s3": 1} if consumer.has("up") else {})
+    assert heard == ({"s3": 1} if client.has("up") else {})
     assert sum(bytes(got).count(early) for got in w.servers[3].heard) == heard["s3"]
 
 
@@ -319,7 +319,7 @@
         if n in seen:
             seen[n].say(w.words["open"](n, b"tech")[n:])
         else:
-            seen[n] = Consumer(w, w.words["open"](n, b"tech")[:n])
+            seen[n] = Client(w, w.words["open"](n, b"tech")[:n])
 
     cut(whole, open_or_say)
     w.until(lambda: all(c.has("up") for c in seen.values()))
@@ -331,8 +331,8 @@
     w.until(lambda: sum(c.has("reply") for c in seen.values()) == len(ask) - 1)
     assert sum(ask in got for got in server.heard) == len(ask) - 1
     assert sum(len(c.got) > b for c, b in zip(seen.values(), before)) == len(ask) - 1
-    for consumer in seen.values():
-        consumer.got.clear()
+    for client in seen.values():
+        client.got.clear()
     news = w.words["half"] + w.words["rest"]
     live = list(server.live)
     cut(news, lambda n, part: live[n].push(part) and None)
@@ -343,11 +343,11 @@
     w = world("up", "silent", "half")
     base = len(w.loop.conns)
     opening = w.words["open"](1, b"tech")
-    seen = [Consumer(w, w.words["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)]
+    seen = [Client(w, w.words["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)]
     w.until(lambda: all(c.conn is not None for c in seen) and len(w.relay.live) >= 4)
-    for consumer in seen:
-        consumer.conn.close()
-    w.until(lambda: not w.relay.live and not w.relay.facade.invocations, 2)
+    for client in seen:
+        client.conn.close()
+    w.until(lambda: not w.relay.live and not w.relay.facade.requests, 2)
     w.until(lambda: not w.relay.facade.balancer.jobs and not w.proxy.front.names, 2)
     w.until(lambda: not any(s.live for s in w.servers) and len(w.loop.conns) <= base + 3, 2)
 
@@ -359,13 +359,13 @@
     gc.collect()
     gc.disable()
     try:
-        for consumer in w.up(20):
-            consumer.conn.close()
-        del consumer
+        for client in w.up(20):
+            client.conn.close()
+        del client
         w.until(lambda: len(w.relay.live) == 2)
         gc.set_debug(gc.DEBUG_SAVEALL)
         gc.collect()
-        left = [o for o in gc.garbage if isinstance(o, (Conn, Invocation))]
+        left = [o for o in gc.garbage if isinstance(o, (Conn, Request))]
     finally:
         gc.set_debug(0)
         gc.garbage.clear()
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -61,7 +61,7 @@
     doc = changed(w, "settings", "lanes", value=[BULK, lanes[0]])
     assert reload(w, tmp_path, doc, ("tech", "bulk"))["edge.reload_success"] == 1
     w.up(2, klass=b"bulk")
-    late = w.consumer(77, b"resident")
+    late = w.client(77, b"resident")
     w.until(lambda: late.ended_at)
     assert not late.has("up")
     found = w.figures()
@@ -147,8 +147,8 @@
     w = world("busy", "busy", "busy")
     reload(w, tmp_path, changed(w, "settings", "caps", "max_attempts", value=1))
     for n in range(3):
-        consumer = w.consumer(n)
-        w.until(lambda: consumer.ended_at)  # noqa: B023
+        client = w.client(n)
+        w.until(lambda: client.ended_at)  # noqa: B023
     assert w.figures()["edge.dispatches"] == 3
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -96,7 +96,7 @@
 
     def crowd() -> Steps[None]:
         while True:
-            seen.append(w.consumer(next(w.numbers)))
+            seen.append(w.client(next(w.numbers)))
             pause = clock() + 5000
             while clock() < pause:
                 yield pause
@@ -138,7 +138,7 @@
     assert pair.call(b"cordon s0\n") == b"ACK\n"
     for server in w.servers:
         server.mode = "silent"
-    w.consumer()
+    w.client()
     w.until(lambda: w.flying)  # which keeps the old process there for a while
     new = pair.start()
     new_control = w.addresses["control"]
@@ -165,10 +165,10 @@
     pair = Pair("lines", tmp_path)
     w = pair.world
     pair.start()
-    first = w.consumer(7)
+    first = w.client(7)
     w.until(lambda: first.has("up"))
     pair.start()
-    second = w.consumer(7)
+    second = w.client(7)
     w.until(lambda: second.ended_at or second.has("up"))
     assert second.has("failed") and not second.has("up")
     pair.close()
@@ -227,8 +227,8 @@
         server.say(w.words["rest"])
     whole = w.words["half"] + w.words["rest"]
     w.until(lambda: all(whole in c.got for c in seen))
-    for consumer in seen:
-        consumer.say(w.words["ask"])
+    for client in seen:
+        client.say(w.words["ask"])
     w.until(lambda: all(c.has("reply") for c in seen))
     assert not any(c.ended_at or c.has("moved") for c in seen)
     found = w.figures()
@@ -256,19 +256,19 @@
     """A message longer than may be kept whole cannot cross: it is passed on to its end where it began."""
     w = pair.world
     old = pair.start()
-    (consumer,) = w.up()
+    (client,) = w.up()
     (server,) = [s for s in w.servers if s.live]
     size = 200_000
     head = b"MSG a 1 %d\r\n" % size if w.wire == "nats" else b""
     server.say(head + b"x" * 40_000)
-    w.until(lambda: len(consumer.got) > 10_000)
+    w.until(lambda: len(client.got) > 10_000)
     pair.start()
     w.run(0.1)
     assert old.poll() is None
     rest = b"x" * (size - 40_000) + b"\r\n"
     w.loop.spawn(server.live[0].send(rest, clock() + 5 * SECOND), "rest")
     w.until(lambda: old.poll() == 0, 4)
-    assert len(consumer.got) >= size and not consumer.ended_at
+    assert len(client.got) >= size and not client.ended_at
 
 
 def test_an_old_process_that_hangs_does_not_keep_the_new_one_from_serving(pair):
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -129,14 +129,14 @@
     assert len(w.servers[2].heard) == heard[2] == 0
     assert not any(c.ended_at for c in served)
     f.taken(w, good)
-    for consumer in served:
-        consumer.got.clear()
-        consumer.say(w.words["ask"])
+    for client in served:
+        client.got.clear()
+        client.say(w.words["ask"])
     w.until(lambda: all(c.has("reply") for c in served))
     assert w.most_flying <= len(served)
 
 
-def test_a_removed_server_gets_nothing_new_and_its_consumers_are_told_to_move(files):
+def test_a_removed_server_gets_nothing_new_and_its_clients_are_told_to_move(files):
     f = files(settle_ms=300)
     w = f.world()
     f.taken(w, f.text(w, 0, 1))
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -128,17 +128,17 @@
 )
 def test_a_bad_first_line_is_failed_and_closed(world, line):
     with pytest.raises(lines.BadLine):
-        lines.invocation_of(lines.parse_open(line), config(), 0)
+        lines.request_of(lines.parse_open(line), config(), 0)
     w = world("up")
     w.words = w.words | {"open": lambda n, klass: line + b"\r\n"}
-    consumer = w.consumer()
-    w.until(lambda: consumer.ended_at)
-    assert bytes(consumer.got) == b"ERR\r\n" and not w.servers[0].heard
+    client = w.client()
+    w.until(lambda: client.ended_at)
+    assert bytes(client.got) == b"ERR\r\n" and not w.servers[0].heard
 
 
 def test_what_a_first_line_says_reaches_the_module():
     opening = lines.parse_open(b"OPEN 9b 7f c=resident,t=acme,d=1500,g=5c,r=1,again=1,h=2.5,at=s7")
-    found = lines.invocation_of(opening, config(), 100)
+    found = lines.request_of(opening, config(), 100)
     assert (found.klass, found.tenant, found.key, found.group, found.load) == (1, 0, 0x7F, 0x5C, 2.5)
     assert found.repeat and found.returned and found.server == "s7"
     assert found.due == 100 + 1500 * MS - lines.MARGIN  # the client's clock began before ours
@@ -149,51 +149,51 @@
     """Sent on it would be a line that no client sent in this form."""
     w = world("up")
     w.words = w.words | {"open": lambda n, klass: b"OPEN 01 0a c=tech,t=acme,d=1800" + end}
-    consumer = w.consumer()
-    w.until(lambda: consumer.ended_at)
-    assert bytes(consumer.got) == b"ERR\r\n" and not w.servers[0].heard
+    client = w.client()
+    w.until(lambda: client.ended_at)
+    assert bytes(client.got) == b"ERR\r\n" and not w.servers[0].heard
 
 
-def test_no_consumer_waits_longer_than_its_class_does():
+def test_no_client_waits_longer_than_its_class_does():
     """Guards against a huge ``d``, which would hold its place for as long as it says."""
-    found = lines.invocation_of(lines.parse_open(b"OPEN 9b 7f c=tech,d=999999999"), config(), 0)
+    found = lines.request_of(lines.parse_open(b"OPEN 9b 7f c=tech,d=999999999"), config(), 0)
     assert found.due == 1800 * MS - lines.MARGIN
 
 
 def test_the_id_of_an_open_connection_is_refused_and_the_first_is_not_harmed(world):
     w = world("up")
-    first = w.consumer(7)
+    first = w.client(7)
     w.until(lambda: first.has("up"))
-    second = w.consumer(7)
+    second = w.client(7)
     w.until(lambda: second.ended_at)
     assert bytes(second.got) == b"ERR\r\n" and not first.ended_at and len(w.servers[0].heard) == 1
     first.say(b"still here\r\n")
     w.until(lambda: b"still here" in first.got)
     first.conn.close()
     w.until(lambda: not w.relay.live)
-    again = w.consumer(7)
+    again = w.client(7)
     w.until(lambda: again.has("up"))
 
 
 def test_an_overlong_first_line_is_failed(world):
     w = world("up")
     w.words = w.words | {"open": lambda n, klass: b"OPEN " + b"x" * 5000}
-    consumer = w.consumer()
-    w.until(lambda: consumer.ended_at)
-    assert bytes(consumer.got) == b"ERR\r\n"
+    client = w.client()
+    w.until(lambda: client.ended_at)
+    assert bytes(client.got) == b"ERR\r\n"
 
 
 def test_the_front_is_told_that_we_are_up(world):
     w = world("up")
     w.words = w.words | {"open": lambda n, klass: b"PING\r\nPING\r\n"}
-    consumer = w.consumer()
-    w.until(lambda: bytes(consumer.got) == b"PONG\r\nPONG\r\n")
+    client = w.client()
+    w.until(lambda: bytes(client.got) == b"PONG\r\nPONG\r\n")
 
 
 def test_a_server_hears_how_long_the_call_will_wait(world):
     w = world("silent", "up")
     for n in range(4):
-        w.consumer(n)
+        w.client(n)
     w.until(lambda: w.servers[1].heard)
     (wait,) = {int(got.split(b"d=")[1].split(b"\r")[0]) <= 1785 for s in w.servers for got in s.heard}
     assert wait
@@ -203,7 +203,7 @@
     w = world("up", "up", "up")
     line = b"OPEN %02x 0a c=tech,t=acme,d=4294967,at=s2\r\n"
     w.words = w.words | {"open": lambda n, klass: line % n}
-    seen = [w.consumer(n) for n in range(5)]
+    seen = [w.client(n) for n in range(5)]
     w.until(lambda: all(c.has("up") for c in seen))
     assert [len(s.heard) for s in w.servers] == [0, 0, 5]
     assert all(b"at=s2" in got for got in w.servers[2].heard)
@@ -220,14 +220,14 @@
     ends: list[str] = []
     report = w.relay.facade.report
     monkeypatch.setattr(w.relay.facade, "report", lambda i, end: (ends.append(end), report(i, end)))
-    (consumer,) = w.up()
+    (client,) = w.up()
     w.servers[0].say(said)
-    w.until(lambda: said in consumer.got)
+    w.until(lambda: said in client.got)
     if load is not None:
         assert next(iter(w.relay.facade.balancer.jobs.values())).load == load
     w.servers[0].live[0].close()
     w.until(lambda: not w.relay.live)
-    assert ends == ["up", how] and bytes(consumer.got).endswith(said)
+    assert ends == ["up", how] and bytes(client.got).endswith(said)
 
 
 @pytest.mark.parametrize(("said", "ok"), [(b"PONG x0=0.5,x1=2\r\n", True), (b"ERR\r\n", False), (b"", False)])
@@ -298,10 +298,10 @@
     with pytest.raises(nats.ProtocolError, match=text):
         nats.parse_op(buffer(data), 0, nats.FROM_CLIENT, nats.CONTROL_LINE, 1 << 20)
     w = world("up", wire="nats")
-    (consumer,) = w.up()
-    consumer.say(data)
-    w.until(lambda: consumer.ended_at and not w.relay.live)
-    assert bytes(consumer.got).endswith(b"-ERR '%s'\r\n" % text.encode())
+    (client,) = w.up()
+    client.say(data)
+    w.until(lambda: client.ended_at and not w.relay.live)
+    assert bytes(client.got).endswith(b"-ERR '%s'\r\n" % text.encode())
     assert w.servers[0].heard[0].endswith(b"PING\r\nPING\r\n")
 
 
@@ -319,9 +319,9 @@
 def test_the_greeting(world, opening, answer):
     w = world("silent", wire="nats")
     w.words = w.words | {"open": lambda n, klass: opening}
-    consumer = w.consumer()
-    w.until(lambda: bytes(consumer.got).endswith(answer))
-    head, line = bytes(consumer.got).split(b"\r\n")[:2]
+    client = w.client()
+    w.until(lambda: bytes(client.got).endswith(answer))
+    head, line = bytes(client.got).split(b"\r\n")[:2]
     assert head.startswith(b"INFO {") and json.loads(head[5:])["max_payload"] == 1 << 20
     assert line + b"\r\n" == answer
 
@@ -334,7 +334,7 @@
         (b"PONG\r\nMSG a 1 8\r\nPONG\r\n!!\r\n", b"MSG a 1 8\r\nPONG\r\n!!\r\n"),
     ],
 )
-def test_what_is_for_us_does_not_reach_the_consumer(said, passed):
+def test_what_is_for_us_does_not_reach_the_client(said, passed):
     out = nats.ClientOps(1 << 20)
     out.spoken()
     into = nats.ServerOps(1 << 20, out.pings)
@@ -343,45 +343,45 @@
     assert inbox.take(size) == passed and not len(inbox)
 
 
-def test_a_lame_server_sends_its_consumer_to_another_place(world):
+def test_a_lame_server_sends_its_client_to_another_place(world):
     w = world("up", wire="nats")
-    (consumer,) = w.up()
+    (client,) = w.up()
     w.servers[0].say(b'MSG a 1 2\r\nhi\r\nINFO {"ldm":true,"connect_urls":["10.0.0.1:4222"]}\r\n')
-    w.until(lambda: consumer.ended_at and not w.relay.live)
-    assert consumer.has("moved") and b"connect_urls" not in consumer.got
-    assert bytes(consumer.got).index(b"hi\r\n") < bytes(consumer.got).index(b'"ldm":true')
+    w.until(lambda: client.ended_at and not w.relay.live)
+    assert client.has("moved") and b"connect_urls" not in client.got
+    assert bytes(client.got).index(b"hi\r\n") < bytes(client.got).index(b'"ldm":true')
 
 
-def test_a_consumer_that_is_slow_to_send_is_no_sign_of_a_mute_server(world, monkeypatch):
+def test_a_client_that_is_slow_to_send_is_no_sign_of_a_mute_server(world, monkeypatch):
     """Our PING may not go in the middle of its message, so nothing was asked and nothing is missing."""
     monkeypatch.setattr(nats, "ASK_AFTER", 100 * MS)
     monkeypatch.setattr(relay, "MUTE", 100 * MS)
     w = world("up", wire="nats")
-    (consumer,) = w.up()
+    (client,) = w.up()
     long = b"PUB a 100000\r\n" + b"x" * 80000
-    w.loop.spawn(consumer.conn.send(long, clock() + SECOND), "half a message")
+    w.loop.spawn(client.conn.send(long, clock() + SECOND), "half a message")
     w.until(lambda: len(w.servers[0].heard[0]) > 50000)
     w.run(0.5)
-    assert not consumer.ended_at
-    w.loop.spawn(consumer.conn.send(b"x" * 20000 + b"\r\n", clock() + SECOND), "the rest")
+    assert not client.ended_at
+    w.loop.spawn(client.conn.send(b"x" * 20000 + b"\r\n", clock() + SECOND), "the rest")
     w.until(lambda: w.servers[0].heard[0].endswith(b"x\r\nPING\r\n"))
 
 
 def test_a_server_address_that_is_our_own_is_not_called(world):
-    """Seen with the example: each call came back in as a consumer, five hundred of them in a moment."""
+    """Seen with the example: each call came back in as a client, five hundred of them in a moment."""
     w = world("up", wire="nats")
     w.second.overrides["s0"] = w.second.listen
-    consumer = w.consumer()
-    w.until(lambda: consumer.ended_at)
-    assert consumer.has("rejected") and w.relay.count == 1
+    client = w.client()
+    w.until(lambda: client.ended_at)
+    assert client.has("rejected") and w.relay.count == 1
 
 
-def test_our_own_pings_keep_a_quiet_consumer_placed(world):
+def test_our_own_pings_keep_a_quiet_client_placed(world):
     w = world("up", wire="nats")
-    (consumer,) = w.up()
+    (client,) = w.up()
     w.until(lambda: w.servers[0].heard[0].count(b"PING") == 3)
     w.run(0.1)
-    assert bytes(consumer.got).count(b"PONG") == 1 and not consumer.ended_at
+    assert bytes(client.got).count(b"PONG") == 1 and not client.ended_at
 
 
 # --- health -----------------------------------------------------------------------------------------------
@@ -404,7 +404,7 @@
     ):
         w.address = w.addresses[listener]
         w.words = w.words | {"open": lambda n, klass, opening=opening: opening}
-        asker = w.consumer()
+        asker = w.client()
         w.until(lambda asker=asker: asker.ended_at)
         assert bytes(asker.got).startswith(answer)
 
