--- a/arrowseam/cli/__init__.py
+++ b/arrowseam/cli/__init__.py
@@ -57,7 +57,7 @@
 
 @main.command()
 @config_option
-@click.option("--trace", is_flag=True, help="Log every call, every end and every answer of the directory.")
+@click.option("--trace", is_flag=True, help="Log every call, every end and every answer of discovery.")
 @nats_option
 @operator_option
 def serve(path: str, trace: bool, nats_path: str | None, operator_path: str | None) -> None:
@@ -73,7 +73,7 @@
         print(f"arrowseam: cannot listen: {error}", file=sys.stderr)
         sys.exit(1)
     proxy.path = path
-    proxy.relay.trace = proxy.directory.trace = trace
+    proxy.relay.trace = proxy.discovery.trace = trace
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.on_signal(number, proxy.drain)
     loop.on_signal(signal.SIGHUP, lambda: proxy.reload(path, nats_path, operator_path))
--- a/arrowseam/cli/operators.py
+++ b/arrowseam/cli/operators.py
@@ -32,7 +32,7 @@
         "name": config.name,
         "listen": config.listen,
         "control": config.control,
-        "discovery": config.directory,
+        "discovery": config.discovery,
         "limits": {"sockets": config.sockets},
         "classes": {
             name: {"aim_us": rule.aim, "deadline_us": rule.deadline, "worth": rule.worth}
--- a/arrowseam/config/operator.py
+++ b/arrowseam/config/operator.py
@@ -31,9 +31,7 @@
 
     file: Text  # relative to the operator file's folder
     name: Annotated[str, Meta(pattern=f"^$|{SOURCE_NAME}")] = ""  # at control and in the log; else the file's
-    rank: Annotated[int, Meta(ge=1, le=1000)] = (
-        10  # over other sources that name a server; the directory's is 0
-    )
+    rank: Annotated[int, Meta(ge=1, le=1000)] = 10  # over other sources that name a server; discovery's is 0
     max_removed: Annotated[float, Meta(ge=0.0, le=1.0)] = (
         0.5  # share of the ready weight one version may drop
     )
--- a/arrowseam/config/proxy.py
+++ b/arrowseam/config/proxy.py
@@ -25,7 +25,7 @@
     name: str
     listen: str
     control: str  # empty: no control
-    directory: str
+    discovery: str
     seed: int
     sockets: int
     known: dict[str, Any]
@@ -112,7 +112,7 @@
             name=texts["name"],
             listen=texts["listen"],
             control=texts["control"],
-            directory=texts["discovery"],
+            discovery=texts["discovery"],
             seed=seed,
             sockets=whole(limits, "sockets", 1024),
             known=table(doc, "known"),
--- a/arrowseam/facade.py
+++ b/arrowseam/facade.py
@@ -388,7 +388,7 @@
         return self.balancer.avoided()
 
     def listing(self, listing: Listing | None) -> None:
-        """News from the directory; None for a call that failed."""
+        """News from discovery; None for a call that failed."""
         if listing is None:
             self._feed(api.BackendList(api.ListKind.FAILED))
             return
--- a/arrowseam/lab/rig.py
+++ b/arrowseam/lab/rig.py
@@ -1,4 +1,4 @@
-"""Many real ``serve`` processes, a stand-in directory, and the switchboard between them.
+"""Many real ``serve`` processes, stand-in discovery, and the switchboard between them.
 
 It owns the processes it starts and ends them by their id. It must never look into them: what it knows comes
 from their control, their logs and the stand-ins. A seed repeats which faults come when, not the timing of the
@@ -76,7 +76,7 @@
 
 
 class Rig:
-    """Members ``n0`` to ``nN``. ``rows`` are the servers that the directory names; more operator settings may
+    """Members ``n0`` to ``nN``. ``rows`` are the servers that discovery names; more operator settings may
     be given as Starlark text."""
 
     def __init__(
@@ -100,8 +100,8 @@
         self.former: set[int] = set()
         self.before: list[subprocess.Popen[bytes] | Adopted] = []
         self.rows: list[dict[str, Any]] = []
-        self.version, self.directory_up = 1, True
-        asked = self.loop.listen(("127.0.0.1", 0), "directory", self._directory).address[1]
+        self.version, self.discovery_up = 1, True
+        asked = self.loop.listen(("127.0.0.1", 0), "directory", self._discovery).address[1]
         ports = iter(free_ports(5 * members, first_port))
         self.ports = {n: {k: next(ports) for k in ("front", "control", "fleet", "nats")} for n in self.names}
         real = {n: ("127.0.0.1", self.ports[n]["fleet"]) for n in self.names}
@@ -330,18 +330,18 @@
     def log(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
-    # --- the directory ---
+    # --- discovery ---
 
     def tell(self, rows: list[dict[str, Any]]) -> None:
         self.rows = rows
         self.version += 1
 
-    def _directory(self, conn: Conn) -> Steps[None]:
+    def _discovery(self, conn: Conn) -> Steps[None]:
         while (line := (yield from conn.line(1000, clock() + 60 * SECOND))) is not None:
             if not line.startswith(b"GET"):
                 continue
             since = re.search(rb"since=(\d+)", line)
-            while (since and int(since[1]) >= self.version) or not self.directory_up:
+            while (since and int(since[1]) >= self.version) or not self.discovery_up:
                 if conn.left:
                     return
                 yield clock() + 20_000
--- a/arrowseam/lab/stage.py
+++ b/arrowseam/lab/stage.py
@@ -275,8 +275,8 @@
                 if out:
                     self.cordoned[step.server] = clock(), one
             case "directory":
-                rig.directory_up = False
-                self.at(ends, lambda: setattr(rig, "directory_up", True))
+                rig.discovery_up = False
+                self.at(ends, lambda: setattr(rig, "discovery_up", True))
 
     # --- the play ---
 
@@ -315,7 +315,7 @@
         rig.board.heal()
         for name in list(self.stalled):
             self._resume(name)
-        rig.directory_up = True
+        rig.discovery_up = True
         try:
             self.record.settled = rig.until(rig.agreed, SETTLE)
         except TimeoutError:
--- a/arrowseam/members/check.py
+++ b/arrowseam/members/check.py
@@ -3,8 +3,8 @@
 It owns the rules by which a list from a file is refused and the comparison with the last good one. It must
 never do I/O, read a clock, or mend what it is given: a list is taken whole or not at all.
 
-A file is JSON in the directory's form (PROTOCOL), the whole list, with an optional ``generation``. It is
-read more strictly than the directory's answers: a person or a script wrote it.
+A file is JSON in discovery's form (PROTOCOL), the whole list, with an optional ``generation``. It is
+read more strictly than discovery's answers: a person or a script wrote it.
 """
 
 from __future__ import annotations
--- a/arrowseam/members/files.py
+++ b/arrowseam/members/files.py
@@ -1,4 +1,4 @@
-"""The sources of servers of one proxy on its loop: files, and the directory beside them.
+"""The sources of servers of one proxy on its loop: files, and discovery beside them.
 
 It owns when a file is looked at, the child that reads it, and the telling of what the roster says to the
 facade. It must never decide what a good list is or who wins (``check.py`` and ``roster.py`` do), read a
@@ -19,7 +19,7 @@
 from arrowseam.facade import Facade
 from arrowseam.logs import log
 from arrowseam.members.listing import Member, listing, read_members
-from arrowseam.members.roster import DIRECTORY, KNOWN, Roster, Spec
+from arrowseam.members.roster import DISCOVERY, KNOWN, Roster, Spec
 from arrowseam.members.store import place
 from arrowseam.members.watch import Watch
 from arrowseam.members.worker import SLICE
@@ -77,13 +77,13 @@
                 self.roster.take_up(state, clock())
             except (KeyError, TypeError, ValueError) as error:
                 log("snapshot.refused", f"members: what was handed over makes no sense: {error!r}", "warning")
-        # The module begins with the first thing it hears, and only then asks for the directory's list.
+        # The module begins with the first thing it hears, and only then asks for discovery's list.
         facade.listing(listing("aside", 0, (), config, facade.numbers))
         loop.wake(self.telling)
 
     def _known(self) -> None:
-        """The list at the start is the directory's; without one it stands in for files not yet read."""
-        if self.config.directory:
+        """The list at the start is discovery's; without one it stands in for files not yet read."""
+        if self.config.discovery:
             return
         try:
             _, _, members = read_members(self.config.known)
@@ -109,7 +109,7 @@
                 self._look(name, clock())
         self.specs, self.state_dir = specs, operator.state_dir
         self.looks = {name: at for name, at in self.looks.items() if name in specs}
-        rows = [Spec(DIRECTORY)] if self.config.directory else []
+        rows = [Spec(DISCOVERY)] if self.config.discovery else []
         rows += [Spec(s.name, s.rank, s.settle_ms * MS, s.drain_s * SECOND) for s in specs.values()]
         before = set(self.roster.sources)
         self.roster.configure(rows, clock())
@@ -129,32 +129,32 @@
             if self.roster.retired(name):
                 log("source.retired", f"members: {name} is no longer a source", source=name)
 
-    # --- what the directory says ---
+    # --- what discovery says ---
 
-    def directory(self, kind: str, version: int, members: list[Member]) -> None:
-        """An answer of the directory: ``full``, ``cached`` or ``changes``."""
+    def discovery(self, kind: str, version: int, members: list[Member]) -> None:
+        """An answer of discovery: ``full``, ``cached`` or ``changes``."""
         now = clock()
-        if DIRECTORY not in self.roster.sources:
+        if DISCOVERY not in self.roster.sources:
             return  # it has been given up
         if kind == "changes":
             gone = [m.name for m in members if m.state == "Gone"]
             self.roster.tell(
-                DIRECTORY,
+                DISCOVERY,
                 {m.name: m for m in members if m.state != "Gone"},
                 gone,
                 now,
                 version,
                 _unix_ms(),
-                DIRECTORY,
+                DISCOVERY,
             )
         else:
             self.roster.replace(
-                DIRECTORY,
+                DISCOVERY,
                 [m for m in members if m.state != "Gone"],
                 now,
                 generation=version,
                 good_ms=_unix_ms(),
-                origin=DIRECTORY,
+                origin=DISCOVERY,
             )
         if kind != "cached":
             # The module waits to hear that its call has been answered.
--- a/arrowseam/members/listing.py
+++ b/arrowseam/members/listing.py
@@ -1,6 +1,6 @@
-"""Lists of servers in the directory's form (PROTOCOL), and as the decision module takes them.
+"""Lists of servers in discovery's form (PROTOCOL), and as the decision module takes them.
 
-It owns the decoding of a list that the directory tells, leniently as it always was, and the numbers by which
+It owns the decoding of a list that discovery tells, leniently as it always was, and the numbers by which
 the module knows servers. It must never do I/O or judge a list; the strict reading of files is in
 ``check.py``.
 """
@@ -38,7 +38,7 @@
     started_ms: float = 0.0  # Unix time of its last start; 0 = long ago
 
     def row(self) -> dict[str, Any]:
-        """The same in the directory's form."""
+        """The same in discovery's form."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -55,7 +55,7 @@
 class Listing:
     """News for the module: its rows, and where each server is reached.
 
-    ``kind`` is ``full``, ``changes`` or ``cached`` as the directory tells it, or ``aside`` for what another
+    ``kind`` is ``full``, ``changes`` or ``cached`` as discovery tells it, or ``aside`` for what another
     source says. With ``more`` further rows of the same news follow.
     """
 
@@ -98,7 +98,7 @@
 
 
 def read_member(row: Any) -> Member:
-    """One row of the directory's; raises DecodeError."""
+    """One row of discovery's; raises DecodeError."""
     if not isinstance(row, dict) or not isinstance(row.get("instanceId"), str):
         raise DecodeError("list: each instance must be an object with an instanceId")
     state = str(row.get("lifecycle"))
@@ -158,7 +158,7 @@
 
 
 def read_listing(doc: Any, config: Config, numbers: Numbers, cached: bool = False) -> Listing:
-    """Decode a list in the directory's form; raises ConfigError where it is not in that form."""
+    """Decode a list in discovery's form; raises ConfigError where it is not in that form."""
     whole_list, version, members = read_members(doc)
     kind = "cached" if cached else "full" if whole_list else "changes"
     return listing(kind, version, members, config, numbers)
--- a/arrowseam/members/roster.py
+++ b/arrowseam/members/roster.py
@@ -9,7 +9,7 @@
 * A server that any source calls Terminating drains.
 * A server stays as long as a source names it. One that no file names any more is kept for ``settle``, since
   it may be on its way from one file to another; then it drains for ``drain`` and until it is empty, then it
-  is gone. What the directory calls gone, and nobody else names, is gone at once.
+  is gone. What discovery calls gone, and nobody else names, is gone at once.
 * One address under two names counts once: for the higher rank, else for the one that had it.
 * A source that is no longer configured stays until all that are new have told a good list.
 """
@@ -24,7 +24,7 @@
 
 from arrowseam.members.listing import DRAINING, GONE, READY, Member
 
-DIRECTORY, KNOWN = "directory", "known"
+DISCOVERY, KNOWN = "directory", "known"
 BUSY = 250_000  # a server that has drained for long enough but is not empty is looked at again so soon
 
 
@@ -47,7 +47,7 @@
     generation: int | None = None
     told_at: int | None = None  # last good list; None = none yet
     good_ms: int = 0  # the same in Unix milliseconds, kept over processes
-    origin: str = ""  # file, snapshot, hand-over, directory, known
+    origin: str = ""  # file, snapshot, hand-over, discovery, known
     refused_at: int | None = None
     refused: tuple[str, str] = ("", "")  # reason and text of the last refusal, if it came after the last good
     taken: int = 0
@@ -156,7 +156,7 @@
             source.generation = generation
         source.told_at, source.good_ms, source.origin = now, good_ms, origin
         source.refused_at, source.refused = None, ("", "")
-        source.taken += origin in ("file", DIRECTORY)
+        source.taken += origin in ("file", DISCOVERY)
         self.awaited.discard(name)
         self._retire()
 
@@ -272,7 +272,7 @@
     def _let_go(self, name: str, told: Member, now: int) -> Member | None:
         leaving = self.leaving.get(name)
         if leaving is None:
-            home = self.best[name][0].spec if name in self.best else Spec(DIRECTORY)
+            home = self.best[name][0].spec if name in self.best else Spec(DISCOVERY)
             if not home.drain:
                 return self._gone(name, told)
             leaving = self.leaving[name] = Leaving(now + home.settle, home.drain)
@@ -332,7 +332,7 @@
                     "good_ms": source.good_ms,
                 }
                 for name, source in self.sources.items()
-                if source.told_at is not None and name != DIRECTORY
+                if source.told_at is not None and name != DISCOVERY
             },
             "leaving": [
                 [list(self.told[name]), max(0, leaving.gone_at - now)]
--- a/arrowseam/net/directory.py
+++ b/arrowseam/net/discovery.py
@@ -1,6 +1,6 @@
-"""The directory's client: the list and its watch, over HTTP/1.1.
+"""Discovery's client: the list and its watch, over HTTP/1.1.
 
-It owns the one connection to the directory, the version held, and when the next call is due. It must never
+It owns the one connection to discovery, the version held, and when the next call is due. It must never
 act on a list itself, keep more than one call out, or let a bad answer replace the list held.
 """
 
@@ -39,7 +39,7 @@
     """A call that brought no list: the message says why."""
 
 
-class Directory:
+class Discovery:
     def __init__(
         self,
         loop: Loop,
@@ -51,9 +51,9 @@
         sources."""
         self.loop, self.config, self.facade = loop, config, facade
         self.deliver = deliver or self._to_facade
-        self.address = config.directory
+        self.address = config.discovery
         self.version = 0
-        self.rows: dict[str, Any] = {}  # the list held, in the directory's own form
+        self.rows: dict[str, Any] = {}  # the list held, in discovery's own form
         self.whole = True  # the next call asks for the whole list
         self.asked = False
         self.trace = False  # log every answer
@@ -65,7 +65,7 @@
                 self._take(config.known, read_members(config.known), cached=True)
                 self.whole = False
             except ConfigError as error:
-                log("directory.unread", f"directory: the list at the start is no list: {error}")
+                log("directory.unread", f"discovery: the list at the start is no list: {error}")
 
     def _watch_spans(self) -> tuple[int, int]:
         """How long a watch waits, and by how much later its answer may come."""
@@ -97,13 +97,13 @@
         return {"generation": self.version, "reset": True, "instances": list(self.rows.values())}
 
     def move(self, address: str) -> None:
-        """Leave the directory for another at once, in the middle of a call if need be.
+        """Leave discovery for another at once, in the middle of a call if need be.
 
         The list held stays until the new one has told its own, all of it: versions there may count anew.
         """
         if address == self.address:
             return
-        log("directory.left", f"directory: {self.address} left for {address}")
+        log("directory.left", f"discovery: {self.address} left for {address}")
         self.address = address
         if self.task is not None:
             self.task.gen.close()
@@ -150,14 +150,14 @@
                     spent = (clock() - began) // MS
                     log(
                         "directory.told",
-                        f"directory: version {self.version} after {spent} ms: {told}",
+                        f"discovery: version {self.version} after {spent} ms: {told}",
                         "debug",
                         version=self.version,
                         ms=spent,
                     )
             except (CallFailed, h11.ProtocolError) as error:
                 # The list held stays in force; the module says when to ask again.
-                log("directory.failed", f"directory: call failed: {error}")
+                log("directory.failed", f"discovery: call failed: {error}")
                 self._hang_up()
                 self.asked = False
                 self.facade.listing(None)
--- a/arrowseam/net/loop.py
+++ b/arrowseam/net/loop.py
@@ -43,7 +43,7 @@
 # word.
 HEAR_OUT = 5 * SECOND
 HEAR_PACE = 2 * MS  # between two helpings of what is thrown away: its sender must not have the core to itself
-OWN = 8  # descriptors kept back from calls to servers: our own files, the directory's connection
+OWN = 8  # descriptors kept back from calls to servers: our own files, discovery's connection
 STALE = 10 * MS  # how long what epoll has said is good enough for who must know whether a peer is still there
 REST_MAX = 2048  # bytes of a message not whole yet that may go from one process to the other
 SCRATCH = bytearray(65536)  # what is thrown away is read into this and nowhere else
@@ -355,7 +355,7 @@
     def scarce(self) -> bool:
         """Whether so few descriptors are left that new connections are better turned away at once.
 
-        A placed connection takes two; the rest is for the directory, the log and calls under way.
+        A placed connection takes two; the rest is for discovery, the log and calls under way.
         """
         return (
             self.spare < 0
@@ -389,7 +389,7 @@
     def dial(self, address: Address, limit: int = 16384, kept: bool = False) -> Conn | None:
         """Begin to connect for the running coroutine; None if that fails at once.
 
-        With ``kept`` it may have a descriptor of those kept back. Guards against a directory that cannot be
+        With ``kept`` it may have a descriptor of those kept back. Guards against discovery that cannot be
         called because clients or servers hold them all.
         """
         self.make_room()
--- a/arrowseam/net/nats.py
+++ b/arrowseam/net/nats.py
@@ -127,8 +127,8 @@
             found = self.names.get(name)
         return found or self.default
 
-    def address(self, server: str, directory: Address) -> Address:
-        return self.overrides.get(server, (directory[0], self.server_port))
+    def address(self, server: str, discovery: Address) -> Address:
+        return self.overrides.get(server, (discovery[0], self.server_port))
 
 
 def read_nats_config(text: bytes, config: Config) -> NatsConfig:
--- a/arrowseam/proxy.py
+++ b/arrowseam/proxy.py
@@ -17,7 +17,7 @@
 from arrowseam.logs import log, use
 from arrowseam.net import control, lines, nats, upgrade
 from arrowseam.net.address import Address, parse_address
-from arrowseam.net.directory import Directory
+from arrowseam.net.discovery import Discovery
 from arrowseam.net.health import Health
 from arrowseam.net.loop import Conn, Listener, Loop, Steps, Task, clock, open_listener
 from arrowseam.relay import Client, Relay
@@ -31,13 +31,13 @@
 
 
 def read_first(path: str, files: bool = False, bundle: bytes = b"") -> Config:
-    """The configuration; with ``files`` there may be no directory; raises ConfigError or OSError."""
+    """The configuration; with ``files`` there may be no discovery; raises ConfigError or OSError."""
     config = read_config(overlaid(Path(path).read_bytes(), bundle))
     if not config.control:
         config = replace(config, control=os.environ.get("EDGE_CONTROL", ""))
     addresses = [("listen", config.listen)]
-    if config.directory or not files:
-        addresses.append(("discovery", config.directory))
+    if config.discovery or not files:
+        addresses.append(("discovery", config.discovery))
     if config.control:
         addresses.append(("control", config.control))
     for what, text in addresses:
@@ -54,7 +54,7 @@
         raise ConfigError("operator file: nats: --nats says it already")
     second = nats.read_nats_config(Path(nats_path).read_bytes(), config) if nats_path else None
     if operator is not None:
-        if not config.directory and not operator.servers:
+        if not config.discovery and not operator.servers:
             raise ConfigError("configuration: discovery is empty and the operator file has no servers(...)")
         if operator.nats is not None:
             from arrowseam.config.operator import nats_document
@@ -111,7 +111,7 @@
         offer: upgrade.Offer | None = None,
         operator: Operator | None = None,
     ) -> None:
-        if config.directory and offer is not None and isinstance(offer.state.get("list"), dict):
+        if config.discovery and offer is not None and isinstance(offer.state.get("list"), dict):
             config = replace(config, known=offer.state["list"])
         config = told(config, second)
         self.loop, self.config, self.offer = loop, config, offer
@@ -123,12 +123,12 @@
 
             state = offer.state.get("members") if offer is not None else None
             self.members = Members(loop, config, facade, operator, state)
-        self.directory = Directory(loop, config, facade, self.members.directory if self.members else None)
-        relay.ask = self.directory.ask
+        self.discovery = Discovery(loop, config, facade, self.members.discovery if self.members else None)
+        relay.ask = self.discovery.ask
         relay.probe = lambda server: loop.spawn(
             lines.probe(loop, facade, server, relay.address(server)), "probe"
         )
-        self.directory.begin()
+        self.discovery.begin()
         if self.members is not None and operator is not None and operator.servers:
             from arrowseam.members.files import PRIMED_WITHIN
 
@@ -281,7 +281,7 @@
             relay.drain()
 
         handover.state = lambda: {
-            "list": self.directory.held(),
+            "list": self.discovery.held(),
             # What is out by agreement the new process hears from the others.
             "cordoned": [s for s in facade.cordoned if self.agreement is None or not self.agreement.holds(s)],
             "back": facade.back,
@@ -307,7 +307,7 @@
         front.elsewhere.update(offer.state.get("ids", []))
         offer.settle()
         handover.begin(offer)
-        self.directory.ask(whole=False)
+        self.discovery.ask(whole=False)
 
     def reload(self, path: str, nats_path: str | None = None, operator_path: str | None = None) -> None:
         """Read the files again and take over what can change while connections stand; log what can't.
@@ -367,13 +367,13 @@
         renumbered = (config.zones, config.kinds) != (self.config.zones, self.config.kinds)
         # Each part reads its settings from these whenever it needs them; nothing keeps a copy.
         config = replace(told(config, second), **{key: getattr(self.config, key) for key in stay})
-        self.config = self.relay.config = self.front.config = self.directory.config = config
+        self.config = self.relay.config = self.front.config = self.discovery.config = config
         if self.nats_front is not None:
             self.nats_front.config = config
         self.relay.facade.retune(config)
         if renumbered:
-            self.directory.ask(whole=True)
-        self.directory.begin()
+            self.discovery.ask(whole=True)
+        self.discovery.begin()
         if self.members is not None and operator is not None:
             self.members.config = config
             if renumbered:
@@ -384,7 +384,7 @@
             self._agree(operator.agree)
             use(operator.log.format, operator.log.level)
         self.loop.limit(config.sockets)
-        self.directory.move(config.directory)
+        self.discovery.move(config.discovery)
         log(
             "reload.done",
             "reload: done" + (f"; changed but kept until a restart: {', '.join(kept)}" if kept else ""),
--- a/benchmarks/fleet_counts.py
+++ b/benchmarks/fleet_counts.py
@@ -5,7 +5,7 @@
 The folder has one ``*.log`` for each proxy that ran with ``serve --trace``; each line begins with the time in
 seconds by a clock that they share. What is little in one log may be too much in forty. Printed are:
 
-- by second: answers of the directory and calls to it that failed, calls to servers by how they ended,
+- by second: answers of discovery and calls to it that failed, calls to servers by how they ended,
   refusals, moves, those off silent servers, connections by how they ended, those that stand, pairs of a group
   and a server of it;
 - by version of the list: when the first proxy and the last one were told;
@@ -27,7 +27,7 @@
 MOVE = re.compile(r"move: (\S+) off (\S+)$")
 MUTE = re.compile(r"mute: (\S+) moved off")
 REFUSED = re.compile(r"rejection: (\S+) for (\d+) ms$")
-TOLD = re.compile(r"directory: version (\d+) after (\d+) ms:")
+TOLD = re.compile(r"(?:discovery|directory): version (\d+) after (\d+) ms:")
 WINDOW = 2.0  # seconds: the span over which the rules count what a cold server is sent
 
 
@@ -95,7 +95,7 @@
         elif found := TOLD.match(text):
             row["told"] += 1
             counts.told[int(found[1])].append(at)
-        elif text.startswith("directory: call failed"):
+        elif text.startswith(("discovery: call failed", "directory: call failed")):
             row["list failed"] += 1
         elif " listens on " in text:  # it has started anew and holds nothing
             for key in [key for key in standing if key[0] == proxy]:
--- a/examples/toy_servers.py
+++ b/examples/toy_servers.py
@@ -1,10 +1,10 @@
-"""Two toy servers and a toy directory for ``examples/config.json``; plain lines, loopback only.
+"""Two toy servers and a toy discovery for ``examples/config.json``; plain lines, loopback only.
 
     python examples/toy_servers.py &
     python -m arrowseam serve --config examples/config.json &
     printf 'OPEN 01 0a c=tech-orders,t=bluebonnet-ridge,d=1800\\r\\nhello\\r\\n' | nc -q 2 127.0.0.1 5000
 
-A server answers OPEN with ``UP`` and its name, then sends each line back. The directory says what the
+A server answers OPEN with ``UP`` and its name, then sends each line back. Discovery says what the
 configuration knows and has no news.
 """
 
@@ -30,7 +30,7 @@
             self.wfile.write(line)
 
 
-class Directory(socketserver.StreamRequestHandler):
+class Discovery(socketserver.StreamRequestHandler):
     def handle(self) -> None:
         while line := self.rfile.readline(4096):
             while self.rfile.readline(4096).strip():
@@ -48,7 +48,7 @@
 
 if __name__ == "__main__":
     ports = [int(row["hostPort"].split(":")[1]) for row in KNOWN["instances"]]
-    for port, handler in [*((port, Server) for port in ports), (8500, Directory)]:
+    for port, handler in [*((port, Server) for port in ports), (8500, Discovery)]:
         threading.Thread(target=Threaded(("127.0.0.1", port), handler).serve_forever, daemon=True).start()
-    print("toy servers on", *ports, "and a directory on 8500; end with Ctrl-C", flush=True)
+    print("toy servers on", *ports, "and discovery on 8500; end with Ctrl-C", flush=True)
     threading.Event().wait()
--- a/tests/network.py
+++ b/tests/network.py
@@ -1,4 +1,4 @@
-"""One small world on loopback for the tests of the network code: the laboratory's stand-ins and a directory,
+"""One small world on loopback for the tests of the network code: the laboratory's stand-ins and discovery,
 coroutines on the proxy's own loop, so a test needs no threads and waits on conditions.
 
 ``World(wire)`` has one proxy with both fronts; ``wire`` says which one the stand-ins speak.
@@ -41,7 +41,7 @@
         *modes: str,
         known: bool = True,
         operator: Any = None,
-        directory: bool = True,
+        discovery: bool = True,
         **changes: Any,
     ) -> None:
         self.wire, self.words, self.loop = wire, WORDS[wire], Loop()
@@ -49,13 +49,13 @@
         self.flying = self.most_flying = 0
         self.numbers = itertools.count(1000)  # an id is new with every connection
         self.version, self.told, self.calls = 1, [], []
-        self.bad: bytes | None = None  # what the directory answers in place of a list
+        self.bad: bytes | None = None  # what discovery answers in place of a list
         self.servers = [Server(self, f"s{n}", mode) for n, mode in enumerate(modes)]
-        asked = self.loop.listen(("127.0.0.1", 0), "directory", self._directory).address[1]
+        asked = self.loop.listen(("127.0.0.1", 0), "directory", self._discovery).address[1]
         rows = [server.row for server in self.servers]
         doc = {
             "name": "n0", "listen": "127.0.0.1:0", "control": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{asked}" if directory else "",
+            "discovery": f"127.0.0.1:{asked}" if discovery else "",
             "seed": "1f", "limits": {"sockets": 1000}, "settings": SETTINGS | changes,
             "known": {"generation": 1, "reset": True, "instances": rows if known else []},
         }  # fmt: skip
@@ -75,7 +75,7 @@
         self.addresses = {listener.name: listener.address for listener in self.loop.listeners}
         self.address = self.addresses["front" if wire == "lines" else "nats"]
 
-    def _directory(self, conn: Conn) -> Steps[None]:
+    def _discovery(self, conn: Conn) -> Steps[None]:
         while (line := (yield from conn.line(1000, clock() + 60 * SECOND))) is not None:
             if not line.startswith(b"GET"):
                 continue
@@ -120,7 +120,7 @@
         return {match[1]: int(match[2]) for match in found if match}
 
     def tell(self, **rows: dict[str, Any]) -> None:
-        """The directory's list changes: fields by server."""
+        """Discovery's list changes: fields by server."""
         self.told = [server.row | rows[server.name] for server in self.servers if server.name in rows]
         self.version += 1
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -229,7 +229,7 @@
 
 def test_all_descriptors_of_a_caller_are_given_back():
     w = World("lines", "up")
-    w.until(lambda: w.calls)  # the directory's connection is there: it is none of the caller's
+    w.until(lambda: w.calls)  # discovery's connection is there: it is none of the caller's
     before = sum(isinstance(c, Conn) for c in w.loop.conns.values())
     w.control(b"health\n")
     w.until(lambda: sum(isinstance(c, Conn) for c in w.loop.conns.values()) == before)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,7 +18,7 @@
 import pytest
 from network import LANE, SETTINGS, World, free_port
 
-from arrowseam.net import directory, lines, nats
+from arrowseam.net import discovery, lines, nats
 from arrowseam.net.loop import MS, SECOND, Conn, Listener, Steps, clock
 
 
@@ -251,7 +251,7 @@
 
 
 def test_signals_during_the_drain_change_nothing_about_its_end(world, tmp_path):
-    """A second SIGTERM; SIGHUP with a directory that moves in the same moment."""
+    """A second SIGTERM; SIGHUP with discovery that moves in the same moment."""
     w = world("up", "up")
     seen = w.up(6)
     path, second = tmp_path / "config.json", tmp_path / "nats.json"
@@ -537,7 +537,7 @@
     seen = [Raw(w).open(n) for n in range(30)]
     w.until(lambda: all(c.has("rejected") for c in seen))
     began = clock()
-    w.until(lambda: len(w.loop.conns) <= base + 4, 4)  # the directory's two connections, and what it asks
+    w.until(lambda: len(w.loop.conns) <= base + 4, 4)  # discovery's two connections, and what it asks
     assert clock() - began < 2 * SECOND
     assert not any(c.reset for c in seen)
 
@@ -569,13 +569,13 @@
 # --- descriptors ------------------------------------------------------------------------------------------
 
 
-def test_the_directory_is_called_though_clients_and_servers_hold_all_descriptors(plain, discovery):
-    """Who rests goes first; who stands stays; what is kept back is there for the directory alone."""
+def test_the_discovery_is_called_though_clients_and_servers_hold_all_descriptors(plain, stand_in):
+    """Who rests goes first; who stands stays; what is kept back is there for discovery alone."""
     w = plain("up", "up")
     standing = w.up(4)
     resting = [Raw(w) for _ in range(4)]
     w.until(lambda: len(w.loop.expendable) == 4)
-    found = discovery([w.servers[0].row | {"lifecycle": "Terminating"}, w.servers[1].row], "reset")
+    found = stand_in([w.servers[0].row | {"lifecycle": "Terminating"}, w.servers[1].row], "reset")
     w.loop.sockets = len(w.loop.conns) + 4
     moved_to(w, found)
     w.until(lambda: w.relay.facade.ready == 1)
@@ -701,7 +701,7 @@
 LIST = '{"generation":%d,"reset":true,"instances":[%s]}'
 
 
-class Discovery:
+class StandIn:
     """A stand-in whose calls are answered as ``mode`` says, by a thread: it acts whatever the loop does."""
 
     def __init__(self, rows: list[dict[str, Any]], mode: str) -> None:
@@ -786,11 +786,11 @@
 
 
 @pytest.fixture
-def discovery() -> Iterator[Callable[..., Discovery]]:
-    made: list[Discovery] = []
+def stand_in() -> Iterator[Callable[..., StandIn]]:
+    made: list[StandIn] = []
 
-    def make(rows: list[dict[str, Any]], mode: str) -> Discovery:
-        made.append(Discovery(rows, mode))
+    def make(rows: list[dict[str, Any]], mode: str) -> StandIn:
+        made.append(StandIn(rows, mode))
         return made[-1]
 
     yield make
@@ -798,8 +798,8 @@
         one.close()
 
 
-def moved_to(w: World, found: Discovery) -> None:
-    w.proxy.directory.move(found.address)
+def moved_to(w: World, found: StandIn) -> None:
+    w.proxy.discovery.move(found.address)
 
 
 QUICK = ["reset", "503", "cut head", "cut body", "deep", "huge", "no rows", "twice"]
@@ -807,15 +807,15 @@
 
 @pytest.mark.parametrize("mode", [*QUICK, "endless", "trickle", "silent"])
 def test_a_spoilt_answer_leaves_the_list_and_the_next_good_one_is_in_force_in_time(
-    plain, discovery, monkeypatch, mode
+    plain, stand_in, monkeypatch, mode
 ):
     """One too deep or with a number too long ended the coroutine that asks; nothing was asked ever again."""
     w = plain("up", "up")
     gone = w.servers[0].row | {"lifecycle": "Terminating"}
-    found = discovery([gone, w.servers[1].row], mode)
+    found = stand_in([gone, w.servers[1].row], mode)
     found.version = 5
     if mode != "silent":  # one of those that are given up has the whole time
-        monkeypatch.setattr(directory, "WHOLE", SECOND)
+        monkeypatch.setattr(discovery, "WHOLE", SECOND)
     began = clock()
     moved_to(w, found)
     w.until(lambda: found.calls)
@@ -829,26 +829,26 @@
     assert w.relay.facade.ready == 1
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_in_time(plain, discovery):
+def test_a_watch_that_falls_silent_is_opened_anew_in_time(plain, stand_in):
     """The change comes at the moment of the silence: it counts as told six seconds later."""
     w = plain("up", "up")
-    found = discovery([w.servers[0].row, w.servers[1].row], "good")
+    found = stand_in([w.servers[0].row, w.servers[1].row], "good")
     moved_to(w, found)
-    w.until(lambda: w.proxy.directory.version == 1 and len(found.calls) > 1)
-    silent = discovery([w.servers[0].row | {"lifecycle": "Terminating"}, w.servers[1].row], "silent")
+    w.until(lambda: w.proxy.discovery.version == 1 and len(found.calls) > 1)
+    silent = stand_in([w.servers[0].row | {"lifecycle": "Terminating"}, w.servers[1].row], "silent")
     silent.version = 2
-    w.proxy.directory.address = silent.address
-    w.proxy.directory.task.gen.close()
-    w.proxy.directory._hang_up()
-    w.proxy.directory.whole, w.proxy.directory.task = False, None
-    w.proxy.directory.ask(whole=False)
+    w.proxy.discovery.address = silent.address
+    w.proxy.discovery.task.gen.close()
+    w.proxy.discovery._hang_up()
+    w.proxy.discovery.whole, w.proxy.discovery.task = False, None
+    w.proxy.discovery.ask(whole=False)
     began = clock()
     w.until(lambda: w.relay.facade.ready == 1, 8)
     assert clock() - began < 6 * SECOND
     assert "since=1&" in silent.calls[0][1]
 
 
-def test_a_directory_that_was_down_is_called_again_soon_however_long_it_was(plain, monkeypatch):
+def test_a_discovery_that_was_down_is_called_again_soon_however_long_it_was(plain, monkeypatch):
     """After some failures the next call came up to five seconds later, and could then be given up as well."""
     w = plain("up", "up", invariants=SETTINGS["invariants"] | {"ask_within": 10 * SECOND})
     module = w.relay.facade.balancer
@@ -861,7 +861,7 @@
         listing(found)
 
     monkeypatch.setattr(w.relay.facade, "listing", failed)
-    w.proxy.directory.move(f"127.0.0.1:{free_port()}")
+    w.proxy.discovery.move(f"127.0.0.1:{free_port()}")
     w.until(lambda: len(failures) == 6, 15)
     assert max(b - a for a, b in pairwise(failures)) < 2.2 * SECOND
 
@@ -883,26 +883,26 @@
 
 
 @pytest.mark.parametrize("mode", ["silent", "trickle", "503", "reset"])
-def test_an_agent_that_was_silent_is_heard_within_what_a_drain_leaves(plain, discovery, mode):
+def test_an_agent_that_was_silent_is_heard_within_what_a_drain_leaves(plain, stand_in, mode):
     """What it has at its return counts as told at once."""
     w = push(plain, "up", "up")
-    found = discovery([w.servers[0].row | {"lifecycle": "Terminating"}, w.servers[1].row], mode)
+    found = stand_in([w.servers[0].row | {"lifecycle": "Terminating"}, w.servers[1].row], mode)
     found.version = 2
-    w.proxy.directory.whole = False
-    w.proxy.directory.address = found.address
-    w.proxy.directory._hang_up()
-    w.loop.wake(w.proxy.directory.task)
+    w.proxy.discovery.whole = False
+    w.proxy.discovery.address = found.address
+    w.proxy.discovery._hang_up()
+    w.loop.wake(w.proxy.discovery.task)
     began = clock()
-    w.proxy.directory.task.gen.close()
-    w.proxy.directory.task = None
-    w.proxy.directory.ask(whole=False)
+    w.proxy.discovery.task.gen.close()
+    w.proxy.discovery.task = None
+    w.proxy.discovery.ask(whole=False)
     w.until(lambda: w.relay.facade.ready == 1)
     assert clock() - began < SETTINGS["invariants"]["drain_grace"]
 
 
-def test_an_agent_that_answers_at_once_is_not_asked_without_a_pause(plain, discovery):
+def test_an_agent_that_answers_at_once_is_not_asked_without_a_pause(plain, stand_in):
     w = push(plain, "up")
-    found = discovery([w.servers[0].row], "at once")
+    found = stand_in([w.servers[0].row], "at once")
     moved_to(w, found)
     w.until(lambda: found.calls)
     w.run(1.0)
--- a/tests/test_fleet_counts.py
+++ b/tests/test_fleet_counts.py
@@ -14,17 +14,17 @@
 LOGS = {
     "n0": """\
 0.100 arrowseam 0.1.0: n0 listens on 127.0.0.1:1
-1.000 directory: version 3 after 900 ms: 2 ready, 0 draining
+1.000 discovery: version 3 after 900 ms: 2 ready, 0 draining
 1.050 call: a at s-1: up after 50 ms, group f
 1.900 call: b at s-1: full after 10 ms, group f
 1.950 call: b at s-2: up after 20 ms, group f
 2.500 move: a off s-1
-3.000 directory: call failed: no answer in time
+3.000 discovery: call failed: no answer in time
 3.100 rejection: c for 250 ms
 3.200 mute: b moved off a server that brings nothing back
 torn li""",
     "n1": """\
-1.400 directory: version 3 after 1300 ms: 2 ready, 0 draining
+1.400 discovery: version 3 after 1300 ms: 2 ready, 0 draining
 2.900 call: d at s-1: up after 100 ms, group e
 4.000 end: d at s-1: reset, unanswered for 3 ms
 5.000 arrowseam 0.1.0: n1 listens on 127.0.0.1:2""",
--- a/tests/test_fronts.py
+++ b/tests/test_fronts.py
@@ -250,8 +250,8 @@
     assert b"ERR" in got and ended_at[0] - began < 6 * SECOND and largest <= 1 << 16
 
 
-def test_a_reload_moves_to_the_new_directory_and_keeps_what_stands(world, tmp_path):
-    """SIGHUP ended the process; now the old directory is left in mid-call, and its list kept meanwhile."""
+def test_a_reload_moves_to_the_new_discovery_and_keeps_what_stands(world, tmp_path):
+    """SIGHUP ended the process; now the old discovery is left in mid-call, and its list kept meanwhile."""
     w = world("up", "up")
     (client,) = w.up()
     w.until(lambda: w.calls)
@@ -260,11 +260,11 @@
     for text in ("{", json.dumps(w.doc | {"discovery": "nowhere"})):  # a bad file changes nothing
         path.write_text(text)
         w.proxy.reload(str(path), str(nats))
-    old, calls = w.proxy.directory.conn, len(w.calls)
+    old, calls = w.proxy.discovery.conn, len(w.calls)
     assert old is not None and not old.closed
     w.tell(s0={"lifecycle": "Terminating"}, s1={})
     w.version = 0  # the new one counts anew
-    address = w.loop.listen(("127.0.0.1", 0), "the new directory", w._directory).address
+    address = w.loop.listen(("127.0.0.1", 0), "the new discovery", w._discovery).address
     path.write_text(json.dumps(w.doc | {"discovery": f"{address[0]}:{address[1]}"}))
     for _ in range(3):
         w.proxy.reload(str(path), str(nats))
--- a/tests/test_members_rules.py
+++ b/tests/test_members_rules.py
@@ -11,7 +11,7 @@
 
 from arrowseam.members import check, store
 from arrowseam.members.listing import DRAINING, GONE, READY, Member
-from arrowseam.members.roster import DIRECTORY, KNOWN, Roster, Spec
+from arrowseam.members.roster import DISCOVERY, KNOWN, Roster, Spec
 from arrowseam.members.shares import shares, shifted
 
 MS, SECOND = 1_000, 1_000_000
@@ -163,7 +163,7 @@
 
 def roster(*specs: Spec) -> Roster:
     found = Roster()
-    found.configure(specs or (Spec(DIRECTORY), FILE, OTHER), 0)
+    found.configure(specs or (Spec(DISCOVERY), FILE, OTHER), 0)
     return found
 
 
@@ -176,12 +176,12 @@
 
 def test_rank_decides_the_row_and_any_source_may_drain_it():
     r = roster()
-    r.replace(DIRECTORY, [member("a", 1.0)], 0)
+    r.replace(DISCOVERY, [member("a", 1.0)], 0)
     r.replace("f", [member("a", 7.0)], 0)
     assert [m.weight for m in r.changes(0)] == [7.0]
-    r.replace(DIRECTORY, [member("a", 1.0, DRAINING)], 1)
+    r.replace(DISCOVERY, [member("a", 1.0, DRAINING)], 1)
     assert [(m.weight, m.state) for m in r.changes(1)] == [(7.0, DRAINING)]
-    r.replace(DIRECTORY, [], 2)  # the file still names it
+    r.replace(DISCOVERY, [], 2)  # the file still names it
     assert states(r.changes(2)) == {"a": READY}
     r.replace("f", [], 3)
     assert not r.changes(3) and r.next_at() == 3 + FILE.settle
@@ -211,22 +211,22 @@
     assert not r.leaving and not r.changes(SECOND * 100)
 
 
-def test_what_the_directory_alone_named_is_gone_at_once():
+def test_what_the_discovery_alone_named_is_gone_at_once():
     r = roster()
-    r.replace(DIRECTORY, [member("a")], 0)
+    r.replace(DISCOVERY, [member("a")], 0)
     r.changes(0)
-    r.tell(DIRECTORY, {}, ["a"], 5)
+    r.tell(DISCOVERY, {}, ["a"], 5)
     assert states(r.changes(5)) == {"a": GONE}
 
 
 def test_one_address_under_two_names_counts_once():
     r = roster()
-    r.replace(DIRECTORY, [member("a", address="10.0.0.1:1")], 0)
+    r.replace(DISCOVERY, [member("a", address="10.0.0.1:1")], 0)
     r.changes(0)
     r.replace("f", [member("x", address="10.0.0.1:1")], 1)
     r.changes(1)
     told = {m.name: m.state for m in r.told.values()}
-    assert told == {"x": READY}  # the directory's name for it has gone
+    assert told == {"x": READY}  # discovery's name for it has gone
     r.replace("f", [member("y")], 2)
     assert states(r.changes(2)) == {"y": READY, "a": READY}
     assert states(r.changes(2 + FILE.settle)) == {"x": DRAINING}
@@ -285,7 +285,7 @@
     NAMES, st.tuples(st.sampled_from([1.0, 2.0]), st.sampled_from([READY, DRAINING]), st.integers(1, 4))
 )
 STEPS = st.lists(
-    st.tuples(st.sampled_from([DIRECTORY, "f", "g"]), LISTS, st.integers(0, 3 * SECOND), st.integers(1, 9)),
+    st.tuples(st.sampled_from([DISCOVERY, "f", "g"]), LISTS, st.integers(0, 3 * SECOND), st.integers(1, 9)),
     max_size=12,
 )
 
@@ -294,7 +294,7 @@
 def test_whatever_sources_say_the_module_ends_with_what_they_name(steps):
     """Told in parts of any size: no address twice, none ready that a source drains, all at the end."""
     r, now, seen = roster(), 0, {}
-    lists: dict[str, dict[str, Member]] = {DIRECTORY: {}, "f": {}, "g": {}}
+    lists: dict[str, dict[str, Member]] = {DISCOVERY: {}, "f": {}, "g": {}}
 
     def heed(found: list[Member]) -> None:
         for m in found:
@@ -321,7 +321,7 @@
     assert len({m.address for m in ready}) == len(ready)
     addresses = set()
     for name in named:
-        ranked = [lists[s][name] for s in ("f", "g", DIRECTORY) if name in lists[s]]
+        ranked = [lists[s][name] for s in ("f", "g", DISCOVERY) if name in lists[s]]
         addresses.add(ranked[0].address)
         if name in seen:
             assert seen[name].weight == ranked[0].weight
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -110,7 +110,7 @@
         del doc["discovery"]
     found = reload(w, tmp_path, doc)
     assert (found["edge.reload_success"], found["edge.reload_failure"]) == (0, 1)
-    assert w.proxy.config is before and w.proxy.directory.address == before.directory
+    assert w.proxy.config is before and w.proxy.discovery.address == before.discovery
 
 
 @pytest.mark.parametrize("value", [0, -1, 0.0, "5", float("nan"), True, [], 1e999])
@@ -134,13 +134,13 @@
     w.close()
 
 
-def test_the_directory_is_not_left_where_its_address_is_the_same(world, tmp_path):
+def test_the_discovery_is_not_left_where_its_address_is_the_same(world, tmp_path):
     w = world("up")
     w.until(lambda: w.calls)
-    conn, calls = w.proxy.directory.conn, len(w.calls)
+    conn, calls = w.proxy.discovery.conn, len(w.calls)
     reload(w, tmp_path, changed(w, "settings", "caps", "max_attempts", value=2))
     w.run(0.1)
-    assert w.proxy.directory.conn is conn and len(w.calls) == calls
+    assert w.proxy.discovery.conn is conn and len(w.calls) == calls
 
 
 def test_the_new_number_of_attempts_binds_what_comes_after_it(world, tmp_path):
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -183,7 +183,7 @@
     assert shown["s0"]["sources"] == ("b",) and shown["s0"]["state"] == "ready"
 
 
-def test_files_and_the_directory_together(files):
+def test_files_and_the_discovery_together(files):
     """The file's row wins, either may drain a server, and each of them alone keeps it."""
     f = files()
     w = f.world()
@@ -204,9 +204,9 @@
     assert not w.servers[0].live and len(w.servers[2].live) == len(served)
 
 
-def test_without_a_directory_the_list_at_the_start_stands_in(files):
+def test_without_a_discovery_the_list_at_the_start_stands_in(files):
     f = files()
-    w = f.world(directory=False, known=True)
+    w = f.world(discovery=False, known=True)
     w.until(lambda: w.relay.facade.ready == 3)
     w.up(3)
     f.put(f.text(w, 0, 1))
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -409,7 +409,7 @@
         assert bytes(asker.got).startswith(answer)
 
 
-# --- the directory ----------------------------------------------------------------------------------------
+# --- discovery ----------------------------------------------------------------------------------------
 
 ROW = {"instanceId": "s1", "hostPort": "127.0.0.1:5", "zone": "z", "machineType": "k", "lifecycle": "Ready"}
 
