--- a/arrowseam/fleet/keeper.py
+++ b/arrowseam/fleet/keeper.py
@@ -62,7 +62,7 @@
             configured=configured,
         )
         self.view = View(me, spec, random.Random(secrets.randbits(64)), self._info(configured))
-        self.told = size.Told(size.wanted(configured, 1, 0, False))
+        self.told = size.Told(size.wanted(configured, 1, 0, configured - 1))
         self.peers: Peers | None = None
         self.trips = [0] * (len(BUCKETS_MS) + 1)
         self.looked_at = 0
@@ -167,7 +167,7 @@
     def _follow(self) -> None:
         """The number of proxies, to the module, before anything else happens."""
         view = self.view
-        number = size.wanted(self.config.settings.relays, view.known, view.over, view.met)
+        number = size.wanted(self.config.settings.relays, view.known, view.over, view.strange)
         before = self.told.now
         if self.told.follow(clock(), number) != before:
             self._tell()
--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -42,6 +42,7 @@
 RETRY_PART = 8  # the dead are tried again after this part of the time since the latest death
 RETRY_YOUNG = 600 * SECOND  # and no seldomer than ``RETRY_MOST`` for so long
 FAREWELLS = 5  # members told directly by who leaves
+NUMBERS = (1 << 40) - 1  # bits of a process's nonce that its numbers begin with
 
 
 @dataclass(frozen=True)
@@ -150,15 +151,17 @@
         self.relayed: dict[int, Relayed] = {}
         self.suspicions: dict[str, Suspicion] = {}
         self.streams: dict[int, Life | None] = {}  # by token: who is knocked at
-        self.met = False  # by all who may be there, in the life we live now
+        self.met = False  # by all who take part, in the life we live now
         self.acked: set[Life] = set()  # who has answered the life we live now
-        self.floor = 0  # numbers before this one were sent in an earlier life
+        self.refused: set[Life] = set()  # whom we were refused to ourselves, in the life we live now
+        self.settled: set[str] = set()  # names none of whose lives can count out the life we live now
+        self.counted_out: set[str] = set()  # names that have ended, by evidence of our own
         self.backlog: deque[Record] = deque()  # of state syncs, not taken in yet
         self.rivals: set[int] = set()  # nonces that our name was met with
         self.health = 0
         self.leaving = False
-        self.number = 0
-        self.finished = 0  # of the others, those whose last known life has ended for sure
+        # Numbers of one process are no other's: a late answer to a former life is told by them.
+        self.number = self.floor = (me.nonce & NUMBERS) << 20
         self.members = mark_of(me)  # digest of who takes part
         self.changed_at = self.exchanged_at = -(1 << 62)
         self.buried_at = 0
@@ -191,19 +194,41 @@
 
     @property
     def over(self) -> int:
-        """Names whose last known life has ended for sure."""
-        return self.finished
+        """Names that are counted out: they have ended, by evidence of our own."""
+        return len(self.counted_out)
 
-    def _meet(self) -> None:
-        """Whether all who may be there have answered this life of ours: then none of them counts us out, and
-        none can begin to, since whoever starts later hears of this life or of none.
+    @property
+    def strange(self) -> int:
+        """Names that may have counted us out, with those that are configured and unknown."""
+        others = max(self.spec.configured, self.known) - 1
+        return others if self.leaving else others - len(self.settled)
+
+    def _evidence(self, r: Record) -> bool:
+        """Whether this very life answered ours, was refused to us, or was written off by an operator."""
+        return r.who in self.acked or r.who in self.refused or (r.state is State.LEFT and r.by != "")
 
-        Who has met fewer names than are configured may be on one side of a split whose other side has counted
-        it out before it started.
+    def _judge(self, name: str) -> None:
+        """Whether a name is counted out, and whether it may count us out.
+
+        A name is settled for good, for the life we live: whoever starts under it later has not met our former
+        life, and so cannot count that out.
         """
+        r = self.records.get(name)
+        if r is None:
+            self.counted_out.discard(name)
+            self.settled.discard(name)
+            return
+        evidence = self._evidence(r)
+        if evidence:
+            self.settled.add(name)
+        if evidence and r.state in ENDED:
+            self.counted_out.add(name)
+        else:
+            self.counted_out.discard(name)
+
+    def _meet(self) -> None:
         if not self.met and not self.leaving and self.known >= self.spec.configured:
-            others = (r.who for r in self.records.values() if r.state not in ENDED)
-            self.met = all(who in self.acked for who in others)
+            self.met = all(name in self.settled for name in self.ring)
 
     # --- events -------------------------------------------------------------------------------------------
 
@@ -507,6 +532,9 @@
         if record is not None and record.who != who:
             record = None
         if how == "refused":
+            if record is not None:
+                self.refused.add(record.who)
+                self._judge(record.name)
             if record is not None and record.state < State.GONE:
                 self._set(record.as_(State.GONE, self.me.name))
                 if self.probe is not None and self.probe.target.who == who:
@@ -559,7 +587,7 @@
         """Just started: ask those who have not answered this life yet."""
         if self.met:
             return
-        strange = [n for n in self.ring if self.records[n].who not in self.acked]
+        strange = [n for n in self.ring if n not in self.settled]
         for name in self.rnd.sample(strange, min(GREET, len(strange))):
             self._ping(self.records[name], news=False)  # to choose news for each takes the loop 6 ms at 500
 
@@ -583,8 +611,8 @@
             self._send(relayed.asker.address, answer)
         if m.about is not None:
             self._hear(m.about)
-        elif m.counted and m.number >= self.floor:
-            self.acked.add(m.sender.who)
+        elif m.counted and self.floor <= m.number <= self.number:
+            self._answered(m.sender)
         probe = self.probe
         reached = m.about if m.about is not None else m.sender
         if probe is not None and reached.who == probe.target.who:
@@ -593,6 +621,13 @@
             self.probe = None
             self._doubt(-1)
 
+    def _answered(self, r: Record) -> None:
+        """It holds the life we live now: it does not count us out, and has our number for its own end."""
+        held = self.records.get(r.name)
+        if held is not None and held.who == r.who:
+            self.acked.add(r.who)
+            self._judge(r.name)
+
     def _nack(self, number: int) -> None:
         relayed = self.relayed.pop(number, None)
         if relayed is not None and self.spec.lifeguard:
@@ -706,6 +741,9 @@
         self.members ^= mark_of(self.me)
         if self.me.who != old.who:
             self.acked.clear()
+            self.refused.clear()
+            self.settled.clear()
+            self.counted_out.clear()
             self.met = False
             self.floor = self._next()
         self.changed_at = self.now
@@ -717,16 +755,16 @@
         self.records[r.name] = r
         if known is not None:
             self.members ^= mark_of(known)
-            self.finished -= known.state in ENDED
         self.members ^= mark_of(r)
-        self.finished += r.state in ENDED
         fresh = known is None or known.state != r.state or known.who != r.who
         if fresh:
             self.since[r.name] = self.now
         if known is not None and known.who != r.who:
             self.acked.discard(known.who)
+            self.refused.discard(known.who)
             self.infos.pop(r.name, None)
             self.digests.pop(r.name, None)
+        self._judge(r.name)
         self.gossip.add(r)
         if r.here and (known is None or not known.here):
             self.ring.insert(self.rnd.randrange(len(self.ring) + 1), r.name)
@@ -769,9 +807,9 @@
         seeds = [seed for seed in self.spec.seeds if seed not in met]
         if not dead and not seeds:
             return
-        # Those of whom nothing proves that they have ended first: they take room until then.
-        unproven = [r for r in dead if r.state is State.DEAD]
-        rest: list[Record | Address] = [*(r for r in dead if r.state in ENDED), *seeds]
+        # Those of whom we have no evidence that they have ended first: they take room until then.
+        unproven = [r for r in dead if r.name not in self.counted_out]
+        rest: list[Record | Address] = [*(self.records[n] for n in sorted(self.counted_out)), *seeds]
         for record in self.rnd.sample(unproven, min(RETRIES, len(unproven))):
             self._knock(record)
         for other in self.rnd.sample(rest, min(RETRIES, len(rest))):
@@ -789,8 +827,8 @@
                 return
             if r.state in ENDED and self.now - self.since[name] >= self.spec.forget:
                 spare -= 1
-                self.finished -= 1
                 del self.records[name], self.since[name]
+                self._judge(name)
                 self.infos.pop(name, None)
                 self.digests.pop(name, None)
                 self.gossip.drop(name)
--- a/arrowseam/lab/planted.py
+++ b/arrowseam/lab/planted.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+from arrowseam.fleet import size
 from arrowseam.fleet.codec import Datagram, StateSync
 from arrowseam.fleet.cordons import Cordon
 from arrowseam.fleet.cordons import mark_of as cordon_mark
@@ -54,22 +55,42 @@
     def _meet(self) -> None:
         self.met = not self.leaving
 
+    @property
+    def strange(self) -> int:
+        return 0
+
 
 class MetByFew(View):
-    """Met once those we happen to know have answered, however few."""
+    """Only those we happen to know may have counted us out, however few."""
 
-    def _meet(self) -> None:
-        if not self.met and not self.leaving and self.records:
-            self.met = all(r.who in self.acked for r in self.records.values() if r.state not in ENDED)
+    @property
+    def strange(self) -> int:
+        return self.known - 1 - len(self.settled)
+
+
+class EndedIsNoStranger(View):
+    """Whoever is said to have ended cannot have counted us out."""
+
+    @property
+    def strange(self) -> int:
+        ended = sum(r.state in ENDED and n not in self.settled for n, r in self.records.items())
+        return super().strange - ended
+
+
+class HearsayCounts(View):
+    """Whoever is said to have ended is counted out, without evidence of our own."""
+
+    def _evidence(self, r: Record) -> bool:
+        return super()._evidence(r) or r.state in ENDED
 
 
 class AckOfOtherLife(View):
     """An answer to a former life counts for this one."""
 
     def _become(self, **fields: Any) -> None:
-        kept, met = set(self.acked), self.met
+        kept = set(self.acked), set(self.settled), set(self.counted_out), self.met
         super()._become(**fields)
-        self.acked, self.met = self.acked | kept, met
+        self.acked, self.settled, self.counted_out, self.met = kept
 
 
 class ClockBackLocksOut(View):
@@ -171,22 +192,32 @@
             self.gossip.drop(r.name)
 
 
-def no_reserve(configured: int, known: int, over: int, met: bool) -> int:
+def no_reserve(configured: int, known: int, over: int, strange: int) -> int:
     """The room of those who have ended is shared out to the last bit."""
     whole = max(1, configured, known)
-    return 4 * whole if not met else max(1, whole - over)
+    return size.wanted(configured, known, over, strange) if strange else max(1, whole - over)
 
 
-def rounded_down(configured: int, known: int, over: int, met: bool) -> int:
+def rounded_down(configured: int, known: int, over: int, strange: int) -> int:
     """Shares rounded up."""
     whole = max(1, configured, known)
-    return 4 * whole if not met else max(1, math.floor((whole - over) / (1.0 - over / (4 * whole))))
+    if strange:
+        return size.wanted(configured, known, over, strange)
+    return max(1, math.floor((whole - over) / (1.0 - over / (4 * whole))))
+
+
+def strangers_for_nothing(configured: int, known: int, over: int, strange: int) -> int:
+    """Who may have been counted out takes a whole share unless nobody has answered."""
+    whole = max(1, configured, known)
+    return size.wanted(configured, known, over, strange if strange >= whole - 1 else 0)
 
 
 VIEWS: tuple[type[View], ...] = (
     NoRefutation, IncarnationNotRaised, DeadNeverRetried, SilentCountedOut, AlwaysMet, MetByFew,
-    AckOfOtherLife, ClockBackLocksOut, LateDuplicateBelieved, CordonsNotExchanged, CordonsOverwritten,
-    NoExchange,
-    DigestForgets, ProofOfAnotherLife, SilenceIsProof, SuspicionNeverEnds, SuspicionForAll,
+    AckOfOtherLife, EndedIsNoStranger, HearsayCounts, ClockBackLocksOut, LateDuplicateBelieved,
+    CordonsNotExchanged, CordonsOverwritten, NoExchange, DigestForgets, ProofOfAnotherLife,
+    SilenceIsProof, SuspicionNeverEnds, SuspicionForAll,
+)  # fmt: skip
+NUMBERS: tuple[Callable[[int, int, int, int], int], ...] = (
+    no_reserve, rounded_down, strangers_for_nothing,
 )  # fmt: skip
-NUMBERS: tuple[Callable[[int, int, int, bool], int], ...] = (no_reserve, rounded_down)
--- a/arrowseam/lab/schedules.py
+++ b/arrowseam/lab/schedules.py
@@ -108,7 +108,7 @@
         self,
         schedule: Schedule,
         view: type[View] = View,
-        wanted: Callable[[int, int, int, bool], int] = size.wanted,
+        wanted: Callable[[int, int, int, int], int] = size.wanted,
         spec: Spec | None = None,
     ) -> None:
         self.schedule = schedule
@@ -211,8 +211,9 @@
         """What it should be told in the end. A name that ended before all others of today began is known to
         nobody: it may still be there, unseen, and have counted out whoever started since."""
         whole, ended = self.net.configured, process.view.records.keys() - self.net.running.keys() - self.dark
-        met = process.view.known >= whole and not self.dark  # who is dark answers nobody's new life
-        return size.wanted(whole, whole, len(ended), met)
+        # Who is dark may not have answered this life, and answers nobody's any more.
+        strange = max(0, whole - process.view.known) + len(self.dark)
+        return size.wanted(whole, whole, len(ended), strange)
 
     def _running(self) -> list[Process]:
         return list(self.net.running.values())
--- a/arrowseam/lab/virtual.py
+++ b/arrowseam/lab/virtual.py
@@ -48,7 +48,7 @@
         delay: tuple[int, int] = (200, 2 * MS),
         seeds: int = 3,
         view: type[View] = View,
-        wanted: Callable[[int, int, int, bool], int] = size.wanted,
+        wanted: Callable[[int, int, int, int], int] = size.wanted,
         configured: int | None = None,
     ) -> None:
         super().__init__()
@@ -76,7 +76,7 @@
         wall = WALL + self.now + self.skew.get(name, 0)
         me = Record(name, wall, self.rnd.getrandbits(62), 0, State.ALIVE, name, PORT)
         view = self.kind(me, self.spec, random.Random(self.rnd.getrandbits(64)))
-        first = self.wanted(self.configured, 1, 0, False)
+        first = self.wanted(self.configured, 1, 0, self.configured - 1)
         process = self.running[name] = Process(name, view, size.Told(first))
         self._do(process, view.start(self.now))
         return process
@@ -142,7 +142,7 @@
                 case Note():
                     self.notes.append((self.now, process.name, effect))
         view = process.view
-        number = self.wanted(self.configured, view.known, view.over, view.met)
+        number = self.wanted(self.configured, view.known, view.over, view.strange)
         process.least = min(process.least, process.told.follow(self.now, number))
         if view.due is not None:
             self.at(max(view.due, self.now), lambda: self._wake(process))
--- a/benchmarks/fleet_worth.py
+++ b/benchmarks/fleet_worth.py
@@ -153,7 +153,7 @@
             at = step * 100 * MS
             if self.by == "view":
                 over = KILLED if self.what == "killed" and at >= FOUND else 0
-                self.tell(rule.follow(at, size.wanted(PROXIES, PROXIES, over, True)))
+                self.tell(rule.follow(at, size.wanted(PROXIES, PROXIES, over, 0)))
             elif self.by == "alive" and at >= FOUND:
                 self.tell(PROXIES - KILLED if self.what == "killed" else PROXIES // 2)
             self.run(100 * MS)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -105,7 +105,7 @@
     rig.until(lambda: process.poll() is not None, 8)
     rig.ended("n2")
     assert all(c.has("moved") for c in held)
-    rig.until(lambda: set(rig.told().values()) == {size.wanted(4, 4, 1, True)}, 15)
+    rig.until(lambda: set(rig.told().values()) == {size.wanted(4, 4, 1, 0)}, 15)
 
 
 def _state(rig: Rig, at: str, member: str) -> str:
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -176,15 +176,19 @@
 
 
 @pytest.mark.parametrize(
-    ("configured", "known", "over", "met", "number"),
+    ("configured", "known", "over", "strange", "number"),
     [
-        (4, 4, 0, True, 4), (4, 1, 0, False, 16), (4, 4, 1, True, 4), (10, 10, 7, True, 4),
-        (200, 200, 140, True, 73),
-        (4, 8, 0, True, 8), (1, 1, 0, True, 1), (2, 2, 1, True, 2), (3, 3, 3, True, 2),
+        (4, 4, 0, 0, 4), (4, 1, 0, 3, 16), (4, 4, 1, 0, 4), (10, 10, 7, 0, 4),
+        (200, 200, 140, 0, 73),
+        (4, 8, 0, 0, 8), (1, 1, 0, 0, 1), (2, 2, 1, 0, 2), (3, 3, 3, 0, 2),
+        # Some may have counted us out: one of 12 costs 45%, 2 of a zone of 542 cost 3%, all cost 3/4.
+        (12, 12, 0, 1, 22), (542, 542, 0, 2, 560), (542, 542, 0, 541, 2168),
+        (2, 2, 0, 1, 8), (6500, 6500, 0, 23, 6698),
+        (10, 10, 9, 0, 4),  # no more than seven tenths are counted out
     ],
 )  # fmt: skip
-def test_the_number_told(configured: int, known: int, over: int, met: bool, number: int) -> None:
-    assert size.wanted(configured, known, over, met) == number
+def test_the_number_told(configured: int, known: int, over: int, strange: int, number: int) -> None:
+    assert size.wanted(configured, known, over, strange) == number
 
 
 @given(st.integers(1, 300), st.data())
@@ -193,8 +197,21 @@
     most = data.draw(st.integers(0, whole - 1))
     overs = [data.draw(st.integers(0, most)) for _ in range(min(6, whole - most))]
     overs += [most] * (whole - most - len(overs))
-    met = sum(1 / size.wanted(whole, whole, over, True) for over in overs)
-    assert met + most / size.wanted(whole, whole, 0, False) <= 1 + 1e-9
+    met = sum(1 / size.wanted(whole, whole, over, 0) for over in overs)
+    assert met + most / size.wanted(whole, whole, 0, whole - 1) <= 1 + 1e-9
+
+
+@given(st.integers(1, 40), st.data())
+def test_shares_never_pass_one_whoever_has_not_answered_whom(whole: int, data) -> None:
+    """Any relation at all of who counts out whom: each that is counted out pays for those that may have."""
+    running = data.draw(st.integers(1, whole))
+    out = {(i, j) for i in range(running) for j in range(running)
+           if i != j and data.draw(st.integers(0, 3)) == 0}  # fmt: skip
+    ended = [data.draw(st.integers(0, whole - running)) for _ in range(running)]
+    overs = [ended[i] + sum((i, j) in out for j in range(running)) for i in range(running)]
+    strangers = [sum((i, j) in out for i in range(running)) for j in range(running)]
+    shares = (1 / size.wanted(whole, whole, overs[n], strangers[n]) for n in range(running))
+    assert sum(shares) <= 1 + 1e-9
 
 
 def test_the_number_grows_at_once_and_shrinks_slowly() -> None:
@@ -283,7 +300,7 @@
     took = net.until(net.agreed, 5 * SECOND)
     assert took is not None and took <= 3 * SECOND
     net.run(net.now + 15 * SECOND)
-    most = size.wanted(members, members, members // 2, True)
+    most = size.wanted(members, members, members // 2, 0)
     assert {p.told.now for p in net.running.values()} == {most} and net.share <= 1 + 1e-9
 
 
