--- a/arrowseam/fleet/codec.py
+++ b/arrowseam/fleet/codec.py
@@ -13,7 +13,7 @@
 from msgspec import Meta
 
 from arrowseam.fleet.cordons import Cordon
-from arrowseam.fleet.records import Info, Number, Record
+from arrowseam.fleet.records import ZONE_MAX, Info, Name, Number, Record
 
 MAGIC = b"aF1"
 HEAD = len(MAGIC) + 4  # the magic word, a CRC-32 of the rest
@@ -23,11 +23,31 @@
 VERSION = 1
 
 PING, ACK, ASK, NACK = 1, 2, 3, 4
+PUSH = 5  # news that shall not wait for a probe; no answer
+BRIDGE, BRIDGED = 6, 7  # between zones, and its answer
+
+BUCKETS = 64  # that names are dealt into, each with a digest of its own
+ZONES_MAX = 64
+BEATS_MAX = 4 + 4 * ZONES_MAX
+# What a state sync is: a question with our buckets; an answer with what differs; the rest pushed back; an
+# answer by who has no more bytes to spend just now, with a few members to ask instead.
+ASKED, ANSWERED, PUSHED, ELSEWHERE = 0, 1, 2, 3
 
 Fleet = Annotated[str, Meta(max_length=64)]
 Digest = int  # 64 bits; msgspec bounds no more than 63
 
 
+class Summary(msgspec.Struct, array_like=True, frozen=True):
+    """What a zone says of itself, counted. It decides nothing."""
+
+    zone: Annotated[str, Meta(min_length=1, max_length=ZONE_MAX)]
+    beat: Annotated[int, Meta(ge=0, le=(1 << 32) - 1)]  # that it was written with: a later one holds
+    by: Name
+    here: Number  # members that take part
+    silent: Number  # dead to it, and may be there
+    over: Number  # ended by proof
+
+
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
     version: Annotated[int, Meta(ge=1)]
     fleet: Fleet
@@ -40,10 +60,14 @@
     cordons: list[Cordon] = []
     counted: bool = True  # in an answer: the sender counts whoever it answers
     info: Info | None = None
+    beats: Annotated[bytes, Meta(max_length=BEATS_MAX)] = b""  # of the zones in the table's order
+    holders: Annotated[bytes, Meta(max_length=1024)] = b""  # who holds the digest above
+    summaries: Annotated[list[Summary], Meta(max_length=64)] = []
+    contacts: Annotated[list[Record], Meta(max_length=16)] = []  # members of this or that zone
 
 
 class StateSync(msgspec.Struct, array_like=True, frozen=True):
-    """A state sync, as it goes over a stream."""
+    """A state, or the part in which two states differ, as it goes over a stream."""
 
     version: Annotated[int, Meta(ge=1)]
     fleet: Fleet
@@ -51,6 +75,12 @@
     records: list[Record]
     cordons: list[Cordon]
     info: Info | None = None
+    buckets: Annotated[list[Digest], Meta(max_length=BUCKETS)] = []  # of all records; none: an older version
+    cordon_digest: Digest = 0
+    part: int = ASKED
+    beats: Annotated[bytes, Meta(max_length=BEATS_MAX)] = b""
+    summaries: Annotated[list[Summary], Meta(max_length=256)] = []
+    contacts: Annotated[list[Record], Meta(max_length=1024)] = []
 
 
 class Junk(ValueError):
@@ -62,7 +92,7 @@
 _state_sync: msgspec.msgpack.Decoder[StateSync] = msgspec.msgpack.Decoder(StateSync)
 
 
-def size(part: Record | Cordon) -> int:
+def size(part: Record | Cordon | Summary) -> int:
     """Bytes that it takes in a datagram."""
     return len(_encoder.encode(part))
 
--- a/arrowseam/fleet/records.py
+++ b/arrowseam/fleet/records.py
@@ -14,6 +14,7 @@
 from msgspec import Meta
 
 NAME_MAX = 64
+ZONE_MAX = 32
 
 Name = Annotated[str, Meta(min_length=1, max_length=NAME_MAX)]
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
@@ -46,6 +47,7 @@
     host: Annotated[str, Meta(min_length=1, max_length=64)]
     port: Port
     by: Annotated[str, Meta(max_length=NAME_MAX)] = ""  # who suspects it, or found it dead
+    zone: Annotated[str, Meta(max_length=ZONE_MAX)] = ""  # that it was told to be in
 
     @property
     def key(self) -> Key:
--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -15,33 +15,74 @@
 import math
 import random
 from collections import Counter, deque
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
+from fractions import Fraction
 from typing import Any, TypeAlias
 
-from arrowseam.fleet import codec
-from arrowseam.fleet.codec import ACK, ASK, NACK, PING, Datagram, Junk, StateSync
+import msgspec
+
+from arrowseam.fleet import codec, size
+from arrowseam.fleet.codec import (
+    ACK,
+    ANSWERED,
+    ASK,
+    ASKED,
+    BRIDGE,
+    BRIDGED,
+    ELSEWHERE,
+    NACK,
+    PING,
+    PUSH,
+    PUSHED,
+    Datagram,
+    Junk,
+    StateSync,
+    Summary,
+)  # fmt: skip
 from arrowseam.fleet.cordons import Cordon, Cordons
+from arrowseam.fleet.differences import Buckets, Holders
 from arrowseam.fleet.gossip import Gossip
 from arrowseam.fleet.records import ENDED, Info, Life, Record, State, mark_of
+from arrowseam.fleet.zones import Zone, Zones
 
 MS = 1_000
 SECOND = 1_000_000
 Address: TypeAlias = tuple[str, int]
 
-MOST = 4096  # members; updates of more are passed over
+MOST = 16_384  # members of a zone; updates of more are passed over
 HEALTH_MOST = 8  # Lifeguard's S
 CONFIRM = 3  # independent suspicions after which one ends at its earliest
 SLICE = 50  # updates of a state sync taken in at a time
-GREET = 20  # members asked at once, a period, whether they count a proxy that has just started
+GREET, GREET_ON = 20, 4  # members asked in the first period, and in each further one, for their answer
 QUIET = SECOND // 2  # views that differ are exchanged once nothing has changed here for so long
 EXCHANGE_GAP = SECOND
 RETRY_LEAST, RETRY_MOST, RETRY_LATE = SECOND // 2, 4 * SECOND, 30 * SECOND
 NEXT = 10 * MS  # until the next probe, where one has found proof
 RETRIES = 4  # of the silent at a time, and of the others
+RETRY_CROWD = 16  # where there are more members, each tries so much the less: one finds who is back for all
 RETRY_PART = 8  # the dead are tried again after this part of the time since the latest death
 RETRY_YOUNG = 600 * SECOND  # and no seldomer than ``RETRY_MOST`` for so long
 FAREWELLS = 5  # members told directly by who leaves
+SEED_GAP = 150 * MS
+PUSHES = 4  # members told of news that shall not wait
+PUSH_WAIT, PUSH_GAP = 20 * MS, 100 * MS  # news of so long go together; between two
+PUSH_RATE, PUSH_BURST = (
+    500,
+    16 << 10,
+)  # bytes a second, and at once, for news of members; cordons go at any rate
+SYNC_RATE, SYNC_BURST = (
+    1_200,
+    96 << 10,
+)  # bytes a second, and at once, for state syncs that we ask for or answer
+ELSEWHERE_MOST = 8  # members named by who has spent that
+BRIDGES_LEAST, BRIDGES_MOST, BRIDGES_PART = (
+    2,
+    20,
+    27,
+)  # periods between two bridges of one member: by the zone's size
+BRIDGE_CROWD = 24  # of a zone pass fleet-wide news on to some other zone, whatever its size
+TOLD_CONTACTS = 3  # of each zone, to who has just started
 NUMBERS = (1 << 40) - 1  # bits of a process's nonce that its numbers begin with
 
 
@@ -58,6 +99,9 @@
     stretch: float = 3.0  # its most: times the least
     forget: int = 3600 * SECOND  # a member that has ended is kept so long, if there are more than configured
     configured: int = 1
+    zone: str = ""  # ours; none: the fleet is one
+    zones: tuple[tuple[str, int], ...] = ()  # each zone's name and size, the same at all
+    hold: bool = False  # nobody is counted out
     lifeguard: bool = True  # off only to be compared with
 
 
@@ -138,6 +182,8 @@
 
 class View:
     def __init__(self, me: Record, spec: Spec, rnd: random.Random, info: Info | None = None) -> None:
+        if me.zone != spec.zone:
+            me = msgspec.structs.replace(me, zone=spec.zone)
         self.me, self.spec, self.rnd, self.info = me, spec, rnd, info
         self.records: dict[str, Record] = {}  # of the others, by name
         self.since: dict[str, int] = {}  # when each was last said to be what it is
@@ -145,6 +191,21 @@
         self.digests: dict[str, int] = {}  # what each said last of its view
         self.cordons = Cordons()
         self.gossip = Gossip()
+        self.across = Gossip()  # what is passed on to other zones
+        self.zones = Zones(spec.zone, spec.zones, rnd)
+        self.ranks: dict[str, int] = {}
+        self.mixed: set[str] = set()  # members that are told of no zone, or of one where we are not
+        self.namesakes: set[int] = set()  # nonces of those in other zones that go by our name
+        self.bridge_in = 0  # periods until the next bridge
+        self.buckets = Buckets()
+        self.buckets.turn(me)
+        self.holders = Holders(me.name)
+        self.greeted = False
+        self.push_armed = self.push_wide = False
+        self.pushed_at = -(1 << 62)
+        self.push_room, self.sync_room, self.room_at = float(PUSH_BURST), float(SYNC_BURST), 0
+        self.seeds: list[Address] = []  # not asked yet, at the start
+        self.wall = 0  # what the wall clock is ahead of ours, by our own life
         self.ring: list[str] = []  # whom to probe, in a random order, each once a round
         self.at = 0
         self.probe: Probe | None = None
@@ -200,9 +261,27 @@
     @property
     def strange(self) -> int:
         """Names that may have counted us out, with those that are configured and unknown."""
-        others = max(self.spec.configured, self.known) - 1
+        others = max(self.configured, self.known) - 1
         return others if self.leaving else others - len(self.settled)
 
+    @property
+    def configured(self) -> int:
+        """Members that are configured where we are."""
+        zone = self.zones.held.get(self.spec.zone)
+        return self.spec.configured if zone is None else zone.size
+
+    @property
+    def holds(self) -> bool:
+        """Whether nobody is to be counted out: so said, or while some are told of zones and some are not."""
+        return self.spec.hold or bool(self.mixed)
+
+    def share_of(self, rule: Callable[..., int] = size.wanted) -> int:
+        """The number that the module is told."""
+        numbers = self.configured, self.known, 0 if self.holds else self.over, self.strange
+        if self.spec.zone not in self.zones.held:
+            return rule(*numbers)
+        return rule(*numbers, Fraction(self.configured, max(self.spec.configured, self.zones.total)))
+
     def _evidence(self, r: Record) -> bool:
         """Whether this very life answered ours, was refused to us, or was written off by an operator."""
         return r.who in self.acked or r.who in self.refused or (r.state is State.LEFT and r.by != "")
@@ -227,19 +306,47 @@
             self.counted_out.discard(name)
 
     def _meet(self) -> None:
-        if not self.met and not self.leaving and self.known >= self.spec.configured:
+        if not self.met and not self.leaving and self.known >= self.configured:
             self.met = all(name in self.settled for name in self.ring)
 
     # --- events -------------------------------------------------------------------------------------------
 
     def start(self, now: int) -> list[Effect]:
+        self._begin(now)
+        self.seeds = [seed for seed in self.spec.seeds if seed != self.me.address]
+        self.rnd.shuffle(self.seeds)
+        self._next_seed()
+        return self._close()
+
+    def stand(self, now: int, records: Iterable[Record]) -> list[Effect]:
+        """The same for a fleet that stands: these members are known, alive, and have answered."""
+        self._begin(now)
+        for r in records:
+            if r.name != self.me.name and not self._foreign(r):
+                self._set(r, tell=False)
+                self.acked.add(r.who)
+                self._judge(r.name)
+            else:
+                self.zones.met(r, False)
+        self.changed_at = now - QUIET
+        self.out.clear()
+        return self._close()
+
+    def _begin(self, now: int) -> None:
         self._open(now)
+        self.wall, self.room_at = self.me.life - now, now
         self._probe_in(int(self.rnd.random() * self.spec.period))
-        for seed in self.spec.seeds:
-            if seed != self.me.address:
-                self._exchange(seed)
         self._retry_in(RETRY_LEAST)
-        return self._close()
+        if self.zones.others:
+            self.bridge_in = self.rnd.randrange(self._bridge_every()) + 1
+            self._arm(now + int(self.rnd.random() * SECOND), "zones")
+
+    def _next_seed(self) -> None:
+        """One after the other: the second is asked only for what the first has not brought."""
+        if self.seeds:
+            self._exchange(self.seeds.pop())
+            if self.seeds:
+                self._arm(self.now + SEED_GAP, "seed")
 
     def wake(self, now: int) -> list[Effect]:
         """Run what is due."""
@@ -257,6 +364,12 @@
                     self._nack(data)
                 case "retry" if data == self.retry_due:
                     self._retry()
+                case "seed":
+                    self._next_seed()
+                case "push":
+                    self._push()
+                case "zones":
+                    self._zones_due()
                 case "merge":
                     self._merge()
                     break  # the next helping is another round's
@@ -285,11 +398,13 @@
         except Junk as junk:
             self._junk(junk)
         else:
+            self.figures["bytes_in"] += len(data)
             if isinstance(message, StateSync):
-                self._state_sync(message)
-                answer = codec.encode_stream(self._state())
+                found = self._state_sync(message)
+                if found is not None:
+                    answer = self._spent(codec.encode_stream(found))
             elif (reply := self._message(message)) is not None:
-                answer = codec.encode_stream(reply)
+                answer = self._counted(codec.encode_stream(reply))
         return self._close(), answer
 
     def ended(self, now: int, token: int, how: str, data: bytes = b"") -> list[Effect]:
@@ -305,7 +420,9 @@
         update = self.cordons.say(server, out, self.me.name, wall_ms)
         if update is not None:
             self.changed_at = now
-            self.gossip.add(update)
+            self._spread(update)
+            for zone in self.zones.others:
+                self._bridge_to(zone)
         return self._close()
 
     def leave(self, now: int) -> list[Effect]:
@@ -314,8 +431,7 @@
         if not self.leaving:
             self.leaving, self.met = True, False
             self._become(incarnation=self.me.incarnation + 1, state=State.LEFT)
-            here = [n for n in self.ring if self.records[n].here]
-            for name in self.rnd.sample(here, min(FAREWELLS, len(here))):
+            for name in self.rnd.sample(self.ring, min(FAREWELLS, len(self.ring))):
                 self._ping(self.records[name])
         return self._close()
 
@@ -394,17 +510,57 @@
             [],
             counted,
             self.info,
+            self.zones.beats() if kind in (PING, PUSH) else b"",
+            self._holding().told() if not self.leaving else b"",
         )
         room = codec.DATAGRAM_MAX - len(codec.encode(bare)) - 16
         told: list[Record] = []
         if first is not None:
             told.append(first)
             room -= codec.size(first)
-        records, cordons = self.gossip.take(self.count, room) if news else ([], [])
-        return Datagram(
-            codec.VERSION, self.spec.fleet, kind, number, self.me, self.digest, about,
-            told + [r for r in records if r != first], cordons, counted, self.info,
-        )  # fmt: skip
+        if not news:
+            return msgspec.structs.replace(bare, news=told) if told else bare
+        records, cordons, summaries = self.gossip.take(self.count, room)
+        told += [r for r in records if r != first]
+        return msgspec.structs.replace(bare, news=told, cordons=cordons, summaries=summaries)
+
+    def _holding(self) -> Holders:
+        """Who is known to hold our digest; begun anew where that has changed."""
+        digest = self.digest
+        if self.holders.digest != digest:
+            self.holders.begin(digest, [*self.ring, self.me.name], self.me.name)
+        return self.holders
+
+    def _held_by(self, sender: Record, told: bytes) -> None:
+        """Its digest is ours: it holds all that we hold, our own life too, and so do those it names."""
+        holders = self._holding()
+        if holders.add(sender.name):
+            self._answered(sender)
+        for name in holders.merge(told):
+            record = self.records.get(name)
+            if record is not None:
+                self._answered(record)
+
+    def _counted(self, data: bytes) -> bytes:
+        self.figures["bytes_out"] += len(data)
+        return data
+
+    def _refill(self) -> None:
+        span = self.now - self.room_at
+        self.room_at = self.now
+        self.push_room = min(PUSH_BURST, self.push_room + PUSH_RATE * span / SECOND)
+        self.sync_room = min(SYNC_BURST, self.sync_room + SYNC_RATE * span / SECOND)
+
+    def _spent(self, data: bytes) -> bytes:
+        """A state sync goes out: it is taken off what may be spent on these."""
+        self._refill()
+        self.sync_room -= len(data)
+        return self._counted(data)
+
+    @property
+    def _may_sync(self) -> bool:
+        self._refill()
+        return self.sync_room > 0
 
     def _send(self, to: Address, message: Datagram) -> None:
         data = codec.encode(message)
@@ -424,6 +580,8 @@
         if m.sender.name == self.me.name and m.sender.nonce == self.me.nonce:
             self.figures["echoes"] += 1
             return None
+        if self._foreign(m.sender):
+            return self._abroad(m)
         self._hear(m.sender)
         held = self.records.get(m.sender.name)
         counts = held is not None and held.who == m.sender.who and held.state not in ENDED
@@ -431,9 +589,12 @@
             self.infos[m.sender.name] = m.info, self.now
         if counts:
             self.digests[m.sender.name] = m.digest
-        for record in m.news:
+        if counts and m.digest == self.digest and not self.leaving and m.sender.here:
+            self._held_by(m.sender, m.holders)
+        for record in (*m.news, *m.contacts):
             self._hear(record)
         self._take_cordons(m.cordons)
+        self._take_zones(m.beats, m.summaries)
         # What we hold of it and it does not say itself, it may refute.
         first = held if held is not None and held.key > m.sender.key else None
         reply: Datagram | None = None
@@ -453,6 +614,12 @@
             case codec.NACK:
                 if self.probe is not None and self.probe.number == m.number:
                     self.probe.nacks += 1
+            case codec.PUSH:
+                pass
+            case codec.BRIDGE:  # it takes us for a member of another zone
+                reply = self._bridge(BRIDGED, m.number, m.sender.zone)
+            case codec.BRIDGED:
+                pass
             case _:
                 self.figures["unknown"] += 1
         self._compare(m)
@@ -463,45 +630,128 @@
         gap = EXCHANGE_GAP * max(1, self.count // 100)
         if (
             m.digest != self.digest
+            and m.sender.zone == self.me.zone  # else what the two hold is never the same
+            and m.kind not in (BRIDGE, BRIDGED)
             and m.sender.state is not State.LEFT
             and self.now - self.changed_at >= QUIET
             and self.now - self.exchanged_at >= gap
         ):
             self._exchange(m.sender.address)
 
-    # --- state syncs -------------------------------------------------------------------------------------
+    # --- state syncs ----------------------------------------------------------------------------------------
 
-    def _state(self) -> StateSync:
-        cordons = list(self.cordons.held.values())
+    def _state(self, part: int, records: list[Record], cordons: list[Cordon], **more: Any) -> StateSync:
         return StateSync(
-            codec.VERSION, self.spec.fleet, self.me, list(self.records.values()), cordons, self.info
-        )
+            codec.VERSION, self.spec.fleet, self.me, records, cordons, self.info, self.buckets.digests,
+            self.cordons.digest, part, self.zones.beats(), **more,
+        )  # fmt: skip
+
+    def _whole(self, cordons: list[Cordon]) -> StateSync:
+        """All of it, as an older version says it."""
+        records = list(self.records.values())
+        return StateSync(codec.VERSION, self.spec.fleet, self.me, records, cordons, self.info)
 
     def _exchange(self, to: Address, who: Life | None = None) -> None:
+        """Ask for what differs."""
+        if not self._may_sync:
+            self.figures["spared"] += 1
+            return
         self.exchanged_at = self.now
         self.figures["exchanges"] += 1
+        self._sync(to, self._state(ASKED, [], []), who)
+
+    def _sync(self, to: Address, state: StateSync, who: Life | None = None) -> None:
         token = self._next()
         self.streams[token] = who
-        self.out.append(Stream(token, to, codec.encode_stream(self._state())))
+        self.out.append(Stream(token, to, self._spent(codec.encode_stream(state))))
 
-    def _state_sync(self, state: StateSync) -> None:
+    def _state_sync(self, state: StateSync) -> StateSync | None:
+        """Take in what somebody asks with; what to answer."""
         if state.sender.name == self.me.name and state.sender.nonce == self.me.nonce:
-            return
-        self._hear(state.sender)
-        if state.info is not None:
-            self.infos[state.sender.name] = state.info, self.now
+            return None
+        self._take_state(state)
+        # None is needed by who pushed; the wire wants one.
+        if state.part == PUSHED:
+            return self._state(ANSWERED, [], [])
+        differ = state.cordon_digest != self.cordons.digest or not state.buckets
+        cordons = list(self.cordons.held.values()) if differ else []
+        if self._foreign(state.sender):
+            return self._state(ANSWERED, [], cordons, **self._wide(state.sender.zone))
+        if not state.buckets:  # an older version, which wants all of it
+            return self._whole(cordons)
+        if not self._may_sync and self.ring:
+            self.figures["spared"] += 1
+            some = [self.records[n] for n in self.rnd.sample(self.ring, min(ELSEWHERE_MOST, len(self.ring)))]
+            return self._state(ELSEWHERE, some, [])
+        places = self.buckets.differing(state.buckets)
+        records = [r for n, r in self.records.items() if self.buckets.place(n) in places]
+        fresh = 2 * len(places) > codec.BUCKETS
+        return self._state(ANSWERED, records, cordons, **(self._wide("") if fresh else {}))
+
+    def _wide(self, zone: str) -> dict[str, Any]:
+        """What we know of the zones, for who is in this one and may know nobody."""
+        if not self.zones.held:
+            return {}
+        told = [z.summary for z in self.zones.held.values() if z.summary is not None]
+        contacts = []
+        for other in self.zones.others:
+            most = ELSEWHERE_MOST if other.name == zone else TOLD_CONTACTS
+            contacts += list(other.contacts.values())[-most:]
+        if zone:
+            contacts += self._own_contacts(TOLD_CONTACTS)
+        return {"summaries": told, "contacts": contacts}
+
+    def _own_contacts(self, count: int) -> list[Record]:
+        alive = self.rnd.sample(self.ring, min(count, len(self.ring)))
+        return [self.records[name] for name in alive if self.records[name].state is State.ALIVE]
+
+    def _take_state(self, state: StateSync) -> None:
+        if self._foreign(state.sender):
+            self._met_abroad(state.sender)
+        else:
+            self._hear(state.sender)
+            if state.info is not None:
+                self.infos[state.sender.name] = state.info, self.now
         self._take_cordons(state.cordons)
+        self._take_zones(state.beats, state.summaries)
+        for record in state.contacts:
+            self._hear(record)
         if len(self.backlog) < 2 * MOST:
             self.backlog.extend(state.records)
         else:
             self.figures["surplus"] += len(state.records)
         self._merge()
 
+    def _state_answered(self, state: StateSync) -> None:
+        """Take in an answer, and push back what it lacks."""
+        if state.sender.name == self.me.name and state.sender.nonce == self.me.nonce:
+            return
+        abroad = self._foreign(state.sender)
+        theirs = {r.name: r.key for r in state.records}
+        theirs[state.sender.name] = state.sender.key
+        lacks: list[Record] = []
+        if state.part == ANSWERED and state.buckets and not abroad:
+            places = self.buckets.differing(state.buckets)
+            ours = [r for n, r in self.records.items() if self.buckets.place(n) in places]
+            lacks = [r for r in ours if r.name not in theirs or r.key > theirs[r.name]]
+        cordons: list[Cordon] = []
+        if state.buckets and state.part == ANSWERED and state.cordon_digest != self.cordons.digest:
+            told = {c.server: c for c in state.cordons}
+            cordons = [c for n, c in self.cordons.held.items() if told.get(n) != c]
+        alone = not self.ring
+        self._take_state(state)
+        if lacks or cordons:
+            self._sync(state.sender.address, self._state(PUSHED, lacks, cordons))
+        elif not state.buckets:  # an older version: it has asked for nothing, and takes all of it
+            self._sync(state.sender.address, self._whole(list(self.cordons.held.values())))
+        if self.ring and (state.part == ELSEWHERE or (abroad and alone)):
+            self._exchange(self.records[self.rnd.choice(self.ring)].address)
+
     def _merge(self) -> None:
         """Some of what state syncs brought, the rest in the next rounds: 500 updates take 20 ms."""
         for _ in range(min(SLICE, len(self.backlog))):
             # A death that the other side of a split believes in is no more than a suspicion here.
-            self._hear(self.backlog.popleft(), mild=True)
+            self._hear(self.backlog.popleft(), mild=True, synced=True)
         if self.backlog:
             self._arm(self.now, "merge")
 
@@ -512,7 +762,7 @@
             found = self.cordons.take(update)
             if found is not None:
                 self.changed_at = self.now
-                self.gossip.add(found)
+                self._spread(found)
                 if found.is_out != was:
                     self.out.append(Cordoned(found.server, found.is_out))
 
@@ -523,9 +773,9 @@
         token = self._next()
         self.streams[token] = record.who if record is not None else None
         first = record if record is not None and record.state is not State.ALIVE else None
-        message = self._write(PING, token, first=first)
+        message = self._write(PING, token, first=first, news=False)
         self.figures["knocks"] += 1
-        self.out.append(Stream(token, to, codec.encode_stream(message)))
+        self.out.append(Stream(token, to, self._counted(codec.encode_stream(message))))
 
     def _ended(self, who: Life | None, how: str, data: bytes) -> None:
         record = self.records.get(who[0]) if who is not None else None
@@ -549,8 +799,14 @@
         except Junk as junk:
             self._junk(junk)
             return
+        self.figures["bytes_in"] += len(data)
         if isinstance(message, StateSync):
-            self._state_sync(message)
+            self._state_answered(message)
+            return
+        if self._foreign(message.sender):
+            self._message(message)
+            if not self.ring:
+                self._exchange(message.sender.address)  # it may know members of our zone
             return
         was_here = record is None or record.here
         self._message(message)
@@ -571,6 +827,7 @@
         if self.leaving:
             return
         self._greet()
+        self._bridge_due()
         while self.ring:
             if self.at >= len(self.ring):
                 self.at = 0
@@ -588,7 +845,9 @@
         if self.met:
             return
         strange = [n for n in self.ring if n not in self.settled]
-        for name in self.rnd.sample(strange, min(GREET, len(strange))):
+        most = GREET_ON if self.greeted else GREET
+        self.greeted = self.greeted or bool(strange)
+        for name in self.rnd.sample(strange, min(most, len(strange))):
             self._ping(self.records[name], news=False)  # to choose news for each takes the loop 6 ms at 500
 
     def _probe_others(self, what: tuple[int, int]) -> None:
@@ -688,7 +947,14 @@
 
     # --- updates about members ------------------------------------------------------------------------------
 
-    def _hear(self, r: Record, mild: bool = False) -> None:
+    def _foreign(self, r: Record) -> bool:
+        """Whether it is of another zone. Who is told of no zone is everybody's."""
+        return bool(r.zone and self.me.zone and r.zone != self.me.zone)
+
+    def _hear(self, r: Record, mild: bool = False, synced: bool = False) -> None:
+        if self._foreign(r):
+            self.zones.met(r, False)
+            return
         if r.name == self.me.name:
             self._about_us(r)
             return
@@ -697,7 +963,8 @@
             if len(self.records) >= MOST:
                 self.figures["surplus"] += 1
             else:
-                self._set(r)
+                # Who starts and is given the whole fleet does not pass that on: all others have it.
+                self._set(r, tell=not synced)
             return
         if mild and r.state is State.DEAD and known.here and r.who == known.who:
             r = r.as_(State.SUSPECT, r.by)
@@ -737,25 +1004,33 @@
         """Say something new of ourselves."""
         old = self.me
         self.members ^= mark_of(old)
+        self.buckets.turn(old)
         self.me = Record(**({f: getattr(old, f) for f in old.__struct_fields__} | {"by": ""} | fields))
         self.members ^= mark_of(self.me)
+        self.buckets.turn(self.me)
         if self.me.who != old.who:
             self.acked.clear()
             self.refused.clear()
             self.settled.clear()
             self.counted_out.clear()
-            self.met = False
+            self.met = self.greeted = False
             self.floor = self._next()
         self.changed_at = self.now
         self.gossip.add(self.me)
 
-    def _set(self, r: Record) -> None:
+    def _set(self, r: Record, tell: bool = True) -> None:
         """An update that holds from now on."""
         known = self.records.get(r.name)
         self.records[r.name] = r
         if known is not None:
             self.members ^= mark_of(known)
+            self.buckets.turn(known)
         self.members ^= mark_of(r)
+        self.buckets.turn(r)
+        if r.zone != self.me.zone and r.state not in ENDED:
+            self.mixed.add(r.name)
+        else:
+            self.mixed.discard(r.name)
         fresh = known is None or known.state != r.state or known.who != r.who
         if fresh:
             self.since[r.name] = self.now
@@ -765,7 +1040,10 @@
             self.infos.pop(r.name, None)
             self.digests.pop(r.name, None)
         self._judge(r.name)
-        self.gossip.add(r)
+        if tell:
+            self.gossip.add(r)
+            if fresh and (not r.here or known is None or known.who != r.who):
+                self._hot()
         if r.here and (known is None or not known.here):
             self.ring.insert(self.rnd.randrange(len(self.ring) + 1), r.name)
         elif not r.here and known is not None and known.here:
@@ -804,14 +1082,20 @@
         # Also who has left: it may have started again where all that it was told to begin with are gone.
         dead = [r for r in self.records.values() if not r.here]
         met = {r.address for r in self.records.values() if r.here} | {self.me.address}
+        met |= {r.address for zone in self.zones.others for r in zone.contacts.values()}
+        if self.zones.others and not self.ring and self.configured > 1:
+            met = {self.me.address}  # alone in our zone: whoever we were told of may know others of it
         seeds = [seed for seed in self.spec.seeds if seed not in met]
         if not dead and not seeds:
             return
         # Those of whom we have no evidence that they have ended first: they take room until then.
         unproven = [r for r in dead if r.name not in self.counted_out]
         rest: list[Record | Address] = [*(self.records[n] for n in sorted(self.counted_out)), *seeds]
+        patience = min(1.0, RETRY_CROWD / (self.count or 1))
         for record in self.rnd.sample(unproven, min(RETRIES, len(unproven))):
-            self._knock(record)
+            # Of those that others hold for ended we want evidence of our own, and nobody else's will do.
+            if record.state in ENDED or self.rnd.random() < patience:
+                self._knock(record)
         for other in self.rnd.sample(rest, min(RETRIES, len(rest))):
             self._knock(other)
         age = self.now - self.buried_at
@@ -827,8 +1111,156 @@
                 return
             if r.state in ENDED and self.now - self.since[name] >= self.spec.forget:
                 spare -= 1
-                del self.records[name], self.since[name]
-                self._judge(name)
-                self.infos.pop(name, None)
-                self.digests.pop(name, None)
-                self.gossip.drop(name)
+                self._drop(name)
+
+    def _drop(self, name: str) -> None:
+        """Know a name no more that takes no part."""
+        self.buckets.forget(self.records.pop(name))
+        self.since.pop(name, None)
+        self.infos.pop(name, None)
+        self.digests.pop(name, None)
+        self.mixed.discard(name)
+        self.ranks.pop(name, None)
+        self.gossip.drop(name)
+        self._judge(name)
+
+    # --- news that shall not wait -------------------------------------------------------------------------
+
+    def _spread(self, update: Cordon) -> None:
+        """Fleet-wide news: to our zone and to the others, at once."""
+        self.gossip.add(update)
+        if self.zones.others:
+            self.across.add(update)
+        self.push_wide = True
+        self._hot()
+
+    def _hot(self) -> None:
+        if not self.push_armed:
+            self.push_armed = True
+            self._arm(max(self.now + PUSH_WAIT, self.pushed_at + PUSH_GAP), "push")
+
+    def _push(self) -> None:
+        self.push_armed = False
+        wide, self.push_wide = self.push_wide, False
+        self._refill()
+        if self.leaving or (not wide and self.push_room <= 0):
+            return
+        self.pushed_at = self.now
+        for name in self.rnd.sample(self.ring, min(PUSHES, len(self.ring))):
+            before = self.figures["bytes_out"]
+            self._send(self.records[name].address, self._write(PUSH, 0))
+            self.push_room -= self.figures["bytes_out"] - before
+        if wide and self.zones.others and self.rnd.random() * self.count < BRIDGE_CROWD:
+            self._bridge_to(self.rnd.choice(self.zones.others))
+
+    # --- zones --------------------------------------------------------------------------------------------
+
+    def _bridge_every(self) -> int:
+        return min(BRIDGES_MOST, max(BRIDGES_LEAST, self.count // BRIDGES_PART))
+
+    def _bridge_due(self) -> None:
+        """Once in some periods, to some zone: all members of ours together reach each of the others often."""
+        if not self.zones.others or self.leaving:
+            return
+        self.bridge_in -= 1
+        if self.bridge_in <= 0:
+            self.bridge_in = self._bridge_every()
+            self._bridge_to(self.rnd.choice(self.zones.others))
+
+    def _bridge_to(self, zone: Zone) -> None:
+        contact = self.zones.contact(zone)
+        if contact is not None:
+            self.figures["bridges"] += 1
+            self._send(contact.address, self._bridge(BRIDGE, self._next(), zone.name))
+
+    def _bridge(self, kind: int, number: int, zone: str) -> Datagram:
+        """What we tell another zone: what is fleet-wide, and whom to talk to."""
+        contacts = self._own_contacts(2) + self.zones.some(1, zone)
+        there = self.zones.held.get(zone)
+        if there is not None and there.contacts:
+            contacts.append(self.rnd.choice(list(there.contacts.values())))
+        bare = Datagram(
+            codec.VERSION, self.spec.fleet, kind, number, self.me, self.cordons.digest, None, [], [], True,
+            None, self.zones.beats(), b"", [], contacts,
+        )  # fmt: skip
+        room = codec.DATAGRAM_MAX - len(codec.encode(bare)) - 16
+        _, cordons, _ = self.across.take(len(self.zones.held) * BRIDGE_CROWD, room)
+        room -= sum(codec.size(cordon) for cordon in cordons)
+        own = self.zones.held.get(self.me.zone)
+        known = [z.summary for z in self.zones.others if z.summary is not None and z.name != zone]
+        told = self.rnd.sample(known, min(2, len(known)))
+        if own is not None and own.summary is not None:
+            told.insert(0, own.summary)
+        summaries = []
+        for summary in told:
+            room -= codec.size(summary)
+            if room < 0:
+                break
+            summaries.append(summary)
+        return msgspec.structs.replace(bare, cordons=cordons, summaries=summaries)
+
+    def _abroad(self, m: Datagram) -> Datagram | None:
+        """A message of a member of another zone; what to answer."""
+        self._met_abroad(m.sender)
+        for record in m.contacts:
+            self._hear(record)
+        self._take_cordons(m.cordons)
+        self._take_zones(m.beats, m.summaries)
+        if (
+            m.kind in (BRIDGE, BRIDGED)
+            and m.digest != self.cordons.digest
+            and self.now - self.changed_at >= QUIET
+            and self.now - self.exchanged_at >= EXCHANGE_GAP
+        ):
+            self._exchange(m.sender.address)
+        if m.kind in (PING, BRIDGE) and m.sender.state is not State.LEFT:
+            return self._bridge(BRIDGED, m.number, m.sender.zone)
+        return None
+
+    def _met_abroad(self, r: Record) -> None:
+        """A member of another zone speaks to us itself."""
+        held = self.records.get(r.name)
+        if held is not None and (r.life, r.nonce) > (held.life, held.nonce) and r.address == held.address:
+            # Its address is another life's now, in another zone: the one that was here has ended.
+            self.refused.add(held.who)
+            if held.state not in ENDED:
+                self._set(held.as_(State.GONE, self.me.name))
+            self._judge(r.name)
+        if r.name == self.me.name and r.nonce not in self.namesakes:
+            self.namesakes.add(r.nonce)
+            self.figures["namesakes"] += 1
+            self._note(
+                "member.namesake", f"{r.host}:{r.port} in zone {r.zone} is called {r.name} too", "error"
+            )
+        if r.here:
+            self.zones.met(r, True)
+
+    def _take_zones(self, beats: bytes, summaries: Iterable[Summary]) -> None:
+        if not self.zones.hear_beats(self.now, beats):
+            if not self.figures["tables"]:
+                self._note("zone.table", "somebody was told other zones, or other sizes of them", "error")
+            self.figures["tables"] += 1
+        for summary in summaries:
+            if self.zones.hear(summary):
+                self.gossip.add(summary)
+
+    def _zones_due(self) -> None:
+        """Once a second: our zone's beat and summary, where we speak for it; who has fallen silent."""
+        self._arm(self.now + SECOND, "zones")
+        if not self.leaving and self.zones.speaks(self.me.name, self.ring, self.ranks):
+            self.zones.raise_beat(self.now, (self.wall + self.now) // SECOND)
+            self._summarise()
+        for zone in self.zones.look(self.now):
+            what = "silent" if zone.silent else "back"
+            self._note(f"zone.{what}", f"zone {zone.name} is {what}", "warning" if zone.silent else "info")
+
+    def _summarise(self) -> None:
+        zone = self.zones.held[self.me.zone]
+        states = Counter(r.state for r in self.records.values())
+        here = 1 + states[State.ALIVE] + states[State.SUSPECT]
+        over = sum(states[state] for state in ENDED)
+        held = zone.summary
+        if held is None or (held.here, held.silent, held.over) != (here, states[State.DEAD], over):
+            summary = Summary(zone.name, zone.beat, self.me.name, here, states[State.DEAD], over)
+            if self.zones.hear(summary):
+                self.gossip.add(summary)
--- a/arrowseam/lab/planted.py
+++ b/arrowseam/lab/planted.py
@@ -9,6 +9,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+import msgspec
+
 from arrowseam.fleet import size
 from arrowseam.fleet.codec import Datagram, StateSync
 from arrowseam.fleet.cordons import Cordon
@@ -104,7 +106,7 @@
 class LateDuplicateBelieved(View):
     """Updates are ordered by incarnation alone, whatever life they are of."""
 
-    def _hear(self, r: Record, mild: bool = False) -> None:
+    def _hear(self, r: Record, mild: bool = False, synced: bool = False) -> None:
         known = self.records.get(r.name)
         if (
             known is not None
@@ -114,16 +116,14 @@
         ):
             self._set(r)
             return
-        super()._hear(r, mild)
+        super()._hear(r, mild, synced)
 
 
 class CordonsNotExchanged(View):
     """State syncs bring no cordons."""
 
-    def _state_sync(self, state: StateSync) -> None:
-        held, self._take_cordons = self._take_cordons, lambda updates: None  # type: ignore[method-assign]
-        super()._state_sync(state)
-        self._take_cordons = held  # type: ignore[method-assign]
+    def _take_state(self, state: StateSync) -> None:
+        super()._take_state(msgspec.structs.replace(state, cordons=[]))
 
 
 class CordonsOverwritten(View):
@@ -153,9 +153,9 @@
 class DigestForgets(View):
     """The digest keeps who has gone."""
 
-    def _set(self, r: Record) -> None:
+    def _set(self, r: Record, tell: bool = True) -> None:
         known = self.records.get(r.name)
-        super()._set(r)
+        super()._set(r, tell)
         if known is not None and known.here and not r.here:
             self.members ^= mark_of(known)
 
@@ -186,8 +186,8 @@
 class SuspicionForAll(View):
     """A new suspicion is not passed on, and neither is a death."""
 
-    def _set(self, r: Record) -> None:
-        super()._set(r)
+    def _set(self, r: Record, tell: bool = True) -> None:
+        super()._set(r, tell)
         if r.state in (State.SUSPECT, State.DEAD, State.GONE):
             self.gossip.drop(r.name)
 
