--- a/arrowseam/cli/fleet.py
+++ b/arrowseam/cli/fleet.py
@@ -32,6 +32,7 @@
     "refused",
     "told",
 )
+ZONE_HEAD = ("zone", "size", "here", "dead", "over", "beat_s", "")
 
 
 def ask(address: str, words: str, body: bytes = b"") -> list[str]:
@@ -52,10 +53,12 @@
     return [json.loads(line) for line in lines[:-1]]
 
 
-def members(address: str) -> tuple[list[dict[str, Any]], list[str]]:
-    """The rows and the cordons that one proxy tells; raises OSError or ValueError."""
+def members(address: str) -> tuple[list[dict[str, Any]], list[dict[str, Any]], list[str]]:
+    """The rows of members and of zones and the cordons that one proxy tells; raises OSError or ValueError."""
     docs = rows(address, "fleet")
-    return [doc for doc in docs if "name" in doc], next((d["cordons"] for d in docs if "cordons" in d), [])
+    cordons: list[str] = next((doc["cordons"] for doc in docs if "cordons" in doc), [])
+    found = [doc for doc in docs if "name" in doc]
+    return found, [doc for doc in docs if "zone" in doc and "name" not in doc], cordons
 
 
 def _span(seconds: float) -> str:
@@ -82,20 +85,24 @@
             click.clear()
         for address in addresses:
             try:
-                rows, cordons = members(address)
+                rows, zones, cordons = members(address)
             except (OSError, ValueError) as error:
                 click.echo(f"arrowseam: {address}: {error}", err=True)
                 status = 1
                 continue
             digests[address] = rows[0]["digest"]
             if as_json:
-                for row in [*rows, {"cordons": cordons}]:
+                for row in [*rows, *zones, {"cordons": cordons}]:
                     click.echo(json.dumps({"from": address} | row))
                 continue
             click.echo(f"{rows[0]['name']} ({address}):")
             click.echo(
                 tabulate([_row(r, n == 0) for n, r in enumerate(rows)], headers=HEAD, disable_numparse=True)
             )
+            if zones:
+                table = [[zone.get(key, "") for key in ZONE_HEAD[:-1]] for zone in zones]
+                said = [[*row, "silent" if zone["silent"] else ""] for row, zone in zip(table, zones)]
+                click.echo(tabulate(said, headers=ZONE_HEAD, disable_numparse=True))
             click.echo(f"cordoned: {', '.join(cordons) or 'none'}\n")
         if len(set(digests.values())) > 1:
             click.echo("views differ: " + ", ".join(f"{a} {d}" for a, d in digests.items()), err=True)
--- a/arrowseam/config/operator.py
+++ b/arrowseam/config/operator.py
@@ -8,6 +8,7 @@
 
 import ipaddress
 import json
+import re
 from typing import Annotated, Any, Literal
 
 import msgspec
@@ -17,6 +18,7 @@
 from arrowseam.net.address import parse_address
 
 SOURCE_NAME = "^[a-z0-9][a-z0-9_-]{0,31}$"
+ZONES_MAX = 64  # of one fleet
 RESERVED = ("directory", "known")
 
 Text = Annotated[str, Meta(min_length=1, max_length=4096)]
@@ -82,7 +84,11 @@
     advertise: str = ""  # where the others reach it, if not there
     seeds: Annotated[tuple[Text, ...], Meta(max_length=64)] = ()  # members to begin with
     name: Annotated[str, Meta(pattern=SOURCE_NAME)] = "fleet"  # members of another name are passed over
-    count: bool = True  # the module goes by the members that may be there, not by the configured number
+    # The module goes by the members that may be there (true), by the configured number (false), or by the
+    # members but counts nobody out ("hold"): what a fleet does while it changes from no zones to zones.
+    count: bool | Literal["hold"] = True
+    zone: Annotated[str, Meta(pattern=f"^$|{SOURCE_NAME}")] = ""  # ours; none: the fleet is one
+    zones: dict[str, Annotated[int, Meta(ge=1, le=16_384)]] = {}  # members of each, the same at all proxies
     period_ms: Annotated[int, Meta(ge=50, le=10_000)] = 300  # between two probes
     timeout_ms: Annotated[int, Meta(ge=10, le=5_000)] = 100  # of a probe, before others are asked
     forget_s: Annotated[int, Meta(ge=60, le=7 * 24 * 3600)] = 3600  # members that have ended
@@ -161,6 +167,14 @@
                 raise BadCall(f"{key}: {error}") from None
     if isinstance(found, Fleet) and found.timeout_ms * 2 > found.period_ms:
         raise BadCall(f"timeout_ms: at most half of period_ms, {found.period_ms}")
+    if isinstance(found, Fleet) and (found.zone or found.zones) and found.zone not in found.zones:
+        raise BadCall(
+            f"zone: {found.zone!r} is not one of zones" if found.zone else "zone: needed with zones"
+        )
+    if isinstance(found, Fleet) and len(found.zones) > ZONES_MAX:
+        raise BadCall(f"zones: at most {ZONES_MAX}")
+    if isinstance(found, Fleet) and not all(re.match(SOURCE_NAME, name) for name in found.zones):
+        raise BadCall("zones: a name is lower-case letters, digits, - and _, at most 32")
     if isinstance(found, Nats):
         places = [(f"users.{user}", place) for user, place in found.users.items()]
         places += [(f"names.{name}", place) for name, place in found.names.items()]
--- a/arrowseam/config/script.py
+++ b/arrowseam/config/script.py
@@ -60,6 +60,8 @@
         agree, budgets = self.once.get("agree"), self.once.get("budgets")
         if fleet is None and agree is not None:
             raise ScriptError(f"{self.path.name}: agree: needs fleet(...)")
+        if agree is not None and isinstance(fleet, operator.Fleet) and fleet.zones:
+            raise ScriptError(f"{self.path.name}: agree: does not go with zones yet")
         if agree is None and budgets is not None:
             raise ScriptError(f"{self.path.name}: budgets: needs agree(...)")
         return operator.Operator(
--- a/arrowseam/fleet/keeper.py
+++ b/arrowseam/fleet/keeper.py
@@ -30,7 +30,7 @@
 COUNTED = (
     "probes", "failed", "indirect", "knocks", "suspect", "dead", "gone", "left", "refuted", "stalls",
     "exchanges", "messages_in", "messages_out", "bytes_in", "bytes_out", "junk", "foreign", "unknown",
-    "echoes", "namesakes", "surplus",
+    "echoes", "namesakes", "surplus", "spared", "bridges", "tables",
 )  # fmt: skip
 BUCKETS_MS = (0.5, 1, 2, 5, 10, 20, 50, 100)  # of the histogram of round trips
 
@@ -51,9 +51,12 @@
         self.address = parse_address(fleet.listen)
         shown = parse_address(fleet.advertise or fleet.listen)
         life, nonce = time.time_ns() // 1000, secrets.randbits(62)
-        me = Record((config.name or fleet.listen)[:64], life, nonce, 0, State.ALIVE, *shown)
+        me = Record((config.name or fleet.listen)[:64], life, nonce, 0, State.ALIVE, *shown, zone=fleet.zone)
         configured = config.settings.relays
         spec = Spec(
+            zone=fleet.zone,
+            zones=tuple(sorted(fleet.zones.items())),
+            hold=fleet.count == "hold",
             fleet=fleet.name,
             seeds=tuple(parse_address(seed) for seed in fleet.seeds),
             period=fleet.period_ms * MS,
@@ -62,7 +65,7 @@
             configured=configured,
         )
         self.view = View(me, spec, random.Random(secrets.randbits(64)), self._info(configured))
-        self.told = size.Told(size.wanted(configured, 1, 0, configured - 1))
+        self.told = size.Told(self.view.share_of())
         self.peers: Peers | None = None
         self.trips = [0] * (len(BUCKETS_MS) + 1)
         self.looked_at = 0
@@ -167,7 +170,7 @@
     def _follow(self) -> None:
         """The number of proxies, to the module, before anything else happens."""
         view = self.view
-        number = size.wanted(self.config.settings.relays, view.known, view.over, view.strange)
+        number = view.share_of()
         before = self.told.now
         if self.told.follow(clock(), number) != before:
             self._tell()
@@ -235,6 +238,9 @@
         yield f"edge.fleet.members:{view.count}|g"
         yield f"edge.fleet.told:{self.told.now}|g"
         yield f"edge.fleet.health:{view.health}|g"
+        yield f"edge.fleet.counted_out:{view.over}|g"
+        yield f"edge.fleet.strangers:{view.strange}|g"
+        yield f"edge.fleet.zones_silent:{sum(zone.silent for zone in view.zones.others)}|g"
         for name in COUNTED:
             yield f"edge.fleet.{name}:{view.figures[name]}|c"
         if self.peers is not None:
@@ -271,5 +277,17 @@
             row |= {"heard_s": round(heard, 1)} | {f: getattr(info, f) for f in info.__struct_fields__}
         return row
 
+    def show_zones(self) -> Iterator[dict[str, Any]]:
+        """Each zone as it was last heard of, with how long ago its beat rose."""
+        now = clock()
+        for zone in self.view.zones.held.values():
+            row: dict[str, Any] = {"zone": zone.name, "size": zone.size, "silent": zone.silent}
+            if zone.beat_at is not None:
+                row["beat_s"] = round((now - zone.beat_at) / SECOND, 1)
+            if zone.summary is not None:
+                told = zone.summary
+                row |= {"here": told.here, "dead": told.silent, "over": told.over, "by": told.by}
+            yield row
+
     def show_cordons(self) -> list[str]:
         return [name for name in self.view.cordons.out() if not name.startswith("!")]
--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -672,7 +672,7 @@
         self._take_state(state)
         # None is needed by who pushed; the wire wants one.
         if state.part == PUSHED:
-            return self._state(ANSWERED, [], [])
+            return self._state(PUSHED, [], [])
         differ = state.cordon_digest != self.cordons.digest or not state.buckets
         cordons = list(self.cordons.held.values()) if differ else []
         if self._foreign(state.sender):
@@ -723,7 +723,7 @@
         self._merge()
 
     def _state_answered(self, state: StateSync) -> None:
-        """Take in an answer, and push back what it lacks."""
+        """Take in an answer, and push back what it lacks; an older version asks for that itself."""
         if state.sender.name == self.me.name and state.sender.nonce == self.me.nonce:
             return
         abroad = self._foreign(state.sender)
@@ -740,10 +740,8 @@
             cordons = [c for n, c in self.cordons.held.items() if told.get(n) != c]
         alone = not self.ring
         self._take_state(state)
-        if lacks or cordons:
+        if (lacks or cordons) and self._may_sync:
             self._sync(state.sender.address, self._state(PUSHED, lacks, cordons))
-        elif not state.buckets:  # an older version: it has asked for nothing, and takes all of it
-            self._sync(state.sender.address, self._whole(list(self.cordons.held.values())))
         if self.ring and (state.part == ELSEWHERE or (abroad and alone)):
             self._exchange(self.records[self.rnd.choice(self.ring)].address)
 
