--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -978,6 +978,7 @@
                 self.figures["refuted"] += 1
                 self._doubt(1)
                 self._become(incarnation=r.incarnation + 1)
+                self._hot()
                 self._note("member.refuted", f"{r.by or 'somebody'} held us {r.state.name.lower()}")
             elif r.incarnation > me.incarnation:
                 self._become(incarnation=r.incarnation)
--- a/arrowseam/fleet/zones.py
+++ b/arrowseam/fleet/zones.py
@@ -133,8 +133,11 @@
             zone.contacts.pop(record.name, None)
             if zone.asked == record.name:
                 zone.asked = ""
-        elif (known is not None and known.key >= record.key) or len(zone.contacts) >= CONTACTS:
+        elif known is not None and known.key >= record.key:
             return
+        elif len(zone.contacts) >= CONTACTS:
+            # Who is told of takes the place of one by lot: else all would keep to the few they began with.
+            del zone.contacts[self.rnd.choice(list(zone.contacts))]
         zone.contacts[record.name] = record
         while len(zone.contacts) > CONTACTS:
             del zone.contacts[next(iter(zone.contacts))]
