--- a/arrowseam/cli/__init__.py
+++ b/arrowseam/cli/__init__.py
@@ -205,11 +205,46 @@
     sys.exit(lab.cut(schedule, real, tries, out))
 
 
+@lab_group.command("scale")
+@click.option("--members", type=click.IntRange(2, 20_000), default=100, show_default=True, help="In all.")
+@click.option(
+    "--real", type=click.IntRange(0, 32), default=2, show_default=True, help="Real proxies of them."
+)
+@click.option("--zones", type=click.IntRange(1, 64), default=1, show_default=True, help="Of even sizes.")
+@click.option(
+    "--faults", default="rest", show_default=True, help="One after another, by commas; `help` lists."
+)
+@click.option("--seconds", type=click.FloatRange(3, 600), default=60.0, show_default=True, help="Of each.")
+@click.option("--out", type=click.Path(file_okay=False), help="Folder for record.json, run.json and logs.")
+@click.option("--period-ms", type=click.IntRange(50, 10_000), default=300, show_default=True)
+@click.option("--standing", is_flag=True, help="Hollow members know each other to begin with.")
+@click.option("--agent", is_flag=True, help="They agree too; five hollow ones vote.")
+@click.option(
+    "--per-host", type=click.IntRange(1, 200), default=50, show_default=True, help="Hollow members."
+)
+@click.option("--seed", type=int, default=1, show_default=True, help="Of who is hit, not of the timing.")
+def lab_scale(
+    members: int, real: int, zones: int, faults: str, seconds: float, out: str | None, period_ms: int,
+    standing: bool, agent: bool, per_host: int, seed: int,
+) -> None:  # fmt: skip
+    """Run many hollow members beside real proxies under traffic, with faults, and judge it.
+
+    A hollow member has the real view and real sockets, without fronts and clients. Exit status 3: a promise
+    was broken; 1: it would not fit this machine, and nothing was started.
+    """
+    from arrowseam.cli import lab
+
+    plan = {"members": members, "real": real, "zones": zones, "faults": tuple(faults.split(",")),
+            "seconds": seconds, "period_ms": period_ms, "standing": standing, "agent": agent,
+            "per_host": per_host, "seed": seed}  # fmt: skip
+    sys.exit(lab.scale(plan, out))
+
+
 @lab_group.command("report")
 @click.argument("folder")
 @click.option("--out", help="The page; else report.html in FOLDER.")
 def lab_report(folder: str, out: str | None) -> None:
-    """Make an HTML page of what `lab fleet --keep FOLDER` left."""
+    """Make an HTML page of what `lab fleet --keep FOLDER` or `lab scale --out FOLDER` left."""
     from arrowseam.cli import lab
 
     sys.exit(lab.report(folder, out))
--- a/arrowseam/cli/lab.py
+++ b/arrowseam/cli/lab.py
@@ -7,10 +7,12 @@
 
 import tempfile
 from pathlib import Path
+from typing import Any
 
 import click
 
 from arrowseam.lab import agreed_stage, script, stage
+from arrowseam.lab import scale as scales
 from arrowseam.lab.schedules import Player, Schedule, shrink
 from arrowseam.lab.stage import Record
 
@@ -91,6 +93,34 @@
     return Schedule(schedule.seed, schedule.members, steps)
 
 
+def scale(plan: dict[str, Any], out: str | None) -> int:
+    """Exit status 0, or 3 where a promise was broken."""
+    if plan["faults"] == ("help",):
+        click.echo(", ".join(scales.FAULTS))
+        return 0
+    chosen = scales.Plan(**plan)
+    try:
+        needs = scales.check(chosen, scales.machine())
+        click.echo("reckoned: " + ", ".join(f"{value:g} {what}" for what, value in needs.items()))
+        record = scales.play(chosen, Path(out) if out else None, click.echo)
+    except scales.Unfit as error:
+        raise click.ClickException(str(error)) from None
+    except KeyboardInterrupt:
+        click.echo("interrupted; all that was started has been ended", err=True)
+        return 130
+    for text in record.said:
+        click.echo(f"note: {text}")
+    click.echo(f"largest sum of shares {record.share:.4f}; clients: {record.clients}; "
+               f"hollow processes' memory {record.memory_mib:.0f} MiB")  # fmt: skip
+    for text in record.broken[:20]:
+        click.echo(f"BROKEN: {text}")
+    if len(record.broken) > 20:
+        click.echo(f"BROKEN: and {len(record.broken) - 20} more")
+    if not record.broken:
+        click.echo("no promise broken")
+    return BROKEN if record.broken else 0
+
+
 def report(folder: str, out: str | None) -> int:
     try:
         from arrowseam.lab import report as pages
@@ -98,12 +128,16 @@
         raise click.ClickException(f"{error.name} is missing: pip install -e '.[lab]'") from None
     place = Path(folder)
     try:
-        record = Record.read((place / "record.json").read_text())
+        text = (place / "record.json").read_text()
+        record = scales.Record.read(text) if '"kind": "scale"' in text[:40] else Record.read(text)
     except OSError as error:
         raise click.ClickException(f"{place / 'record.json'}: {error.strerror}") from None
     except (ValueError, TypeError) as error:
         raise click.ClickException(f"{place / 'record.json'}: not a record: {error}") from None
     page = Path(out) if out else place / "report.html"
-    page.write_text(pages.page(record, f"Play of {place.resolve().name}"))
+    title = f"Play of {place.resolve().name}"
+    page.write_text(
+        pages.page(record, title) if isinstance(record, Record) else pages.scale_page(record, title)
+    )
     click.echo(f"{page}")
     return 0
--- /dev/null
+++ b/arrowseam/lab/hollow.py
@@ -0,0 +1,515 @@
+"""A hollow process: many members of a fleet in one process, each with the real view on sockets of its own.
+
+It owns its members' sockets, lives and clocks, and tells what they cost and hold: a line of JSON a second,
+one at each look. It must never judge, nor tell a member anything but what came over the network. Driven over
+one socket by ``scale.py`` (``python -m arrowseam.lab.hollow FD``); it ends when that socket does.
+
+A member here has no front, no client and no balancer. What goes to or comes from an address that is cut is
+dropped here. A member that is *mute* answers nothing and refuses nothing, as a machine without power: its
+sockets stay bound, nobody reads them.
+"""
+
+from __future__ import annotations
+
+import gc
+import importlib
+import json
+import math
+import random
+import secrets
+import signal
+import socket
+import sys
+import time
+from collections import deque
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from arrowseam import __version__
+from arrowseam.agree import agent as agents
+from arrowseam.agree import codec as agree_codec
+from arrowseam.agree.budgets import Thing
+from arrowseam.agree.controller import Peer, Sight
+from arrowseam.agree.raft import Persist, Role
+from arrowseam.fleet import codec, size
+from arrowseam.fleet.records import ENDED, Info, Record, State, mark
+from arrowseam.fleet.view import Effect, Send, Spec, Stream, View
+from arrowseam.net.address import Address, parse_address
+from arrowseam.net.loop import MS, SECOND, Conn, Loop, Steps, Task, clock
+from arrowseam.net.peers import ANSWER_WITHIN, Peers
+
+LINE_MOST = 8 << 20  # bytes of one line, either way
+AGENT_LOOK = 200 * MS  # as in agree/keeper.py
+
+
+def number_of(view: View) -> float:
+    """What the member's module would be told."""
+    spec = view.spec
+    return size.wanted(spec.configured, view.known, view.over, view.met)
+
+
+def pour(conn: Conn, lines: deque[bytes]) -> Steps[None]:
+    """Write lines as they come, for as long as the connection stands; whoever adds one wakes this task."""
+    while not conn.closed and not conn.broken:
+        while lines and not conn.broken:
+            data, at = lines.popleft(), 0
+            while at < len(data) and not conn.broken and not conn.closed:
+                at += conn.push(memoryview(data)[at:])
+                if at < len(data):
+                    yield clock() + 5 * MS  # what is heard on it wakes another task
+        yield None
+
+
+class Sieve(socket.socket):
+    """A member's UDP socket: what is cut is dropped, what passes is counted."""
+
+    member: Member
+
+    def recv(self, most: int, flags: int = 0) -> bytes:
+        while True:
+            data, sender = self.recvfrom(most, flags)
+            if sender in self.member.host.deaf:
+                continue
+            self.member.count(0, len(data))
+            return data
+
+    def sendto(self, data: Any, to: Any) -> int:  # type: ignore[override]
+        self.member.count(len(data), 0)
+        if to in self.member.host.dumb:
+            return len(data)
+        return super().sendto(data, to)
+
+
+class Wires(Peers):
+    """The sockets of one member, with the host's cut in their way."""
+
+    def __init__(self, member: Member) -> None:
+        """Raises OSError where the address cannot be had."""
+        super().__init__(member.host.loop, member.address, member.heard, member.asked)
+        self.member = member
+        sieve = Sieve(fileno=self.sock.detach())
+        sieve.setblocking(False)
+        sieve.member = member
+        self.sock = sieve
+
+    def stream(self, to: Address, data: bytes, done: Callable[[str, bytes], None]) -> None:
+        host = self.member.host
+        self.member.count(len(data), 0)
+        if to in host.dumb or to in host.deaf:  # a handshake takes both directions
+            host.loop.spawn(self._nobody(done), "cut stream")
+            return
+
+        def counted(how: str, answer: bytes) -> None:
+            self.member.count(0, len(answer), 0)
+            done(how, answer)
+
+        super().stream(to, data, counted)
+
+    def _nobody(self, done: Callable[[str, bytes], None]) -> Steps[None]:
+        due = clock() + ANSWER_WITHIN
+        while clock() < due:
+            yield due
+        done("silent", b"")
+
+    def hush(self) -> None:
+        """Nobody reads these sockets any more; they stay bound, so that nothing is refused."""
+        for fd in (self.sock.fileno(), self.listener.sock.fileno()):
+            self.loop.conns.pop(fd, None)
+            self.loop.epoll.unregister(fd)
+
+    def drop(self, hushed: bool) -> None:
+        if not hushed:
+            self.close()
+            return
+        self.sock.close()
+        self.loop.listeners.remove(self.listener)
+        self.listener.sock.close()
+
+
+class Member:
+    """One name; ``begin`` gives it a new life."""
+
+    def __init__(self, host: Host, doc: dict[str, Any]) -> None:
+        self.host, self.name, self.zone = host, doc["name"], doc.get("zone", "")
+        self.address: Address = (doc["host"], doc["port"])
+        self.seeds = tuple((h, p) for h, p in doc["seeds"])
+        self.born: tuple[int, int] | None = (doc["life"], doc["nonce"]) if "life" in doc else None
+        self.alive = self.mute = self.within = False
+        self.view: View | None = None
+        self.peers: Wires | None = None
+        self.agent: agents.Agent | None = None
+        self.told = size.Told(1)
+        self.task: Task | None = None
+        self.looked = 0
+        self.cost = [0, 0, 0, 0, 0, 0]  # bytes out, in; messages out, in; processor us, the longest event's
+        self.seen: tuple[Any, ...] = ()
+        self.held: list[str] = []
+
+    def count(self, out: int, into: int, messages: int = 1) -> None:
+        cost = self.cost
+        cost[0] += out
+        cost[1] += into
+        cost[2] += messages if out else 0
+        cost[3] += messages if into else 0
+
+    # --- its life ---
+
+    def begin(self, stand: list[Record] | None = None) -> None:
+        self.end()
+        life, nonce = self.born or (time.time_ns() // 1000, secrets.randbits(62))
+        self.born = None
+        host = self.host
+        extra = {"zone": self.zone} if host.zones else {}
+        me = Record(self.name, life, nonce, 0, State.ALIVE, *self.address, **extra)
+        spec = Spec(seeds=self.seeds, **host.spec, **extra)
+        self.view = host.kind(me, spec, random.Random(secrets.randbits(64)), self._info())
+        self.told = size.Told(math.ceil(number_of(self.view)))
+        self.peers = Wires(self)
+        self.alive, self.mute, self.seen = True, False, ()
+        view = self.view
+        if stand is None:
+            self._event(lambda: self._do(view.start(clock())))
+        else:
+            others = [r for r in stand if r.name != self.name]
+            self._event(lambda: self._do(view.stand(clock(), others)))  # type: ignore[attr-defined]
+        if host.voters:
+            self.agent = agents.Agent(
+                self.name, life, secrets.randbits(62),
+                agents.Spec(fleet=spec.fleet, voters=tuple(host.voters)), random.Random(secrets.randbits(64)),
+            )  # fmt: skip
+            self.agent.version = __version__
+            agent = self.agent
+            self._event(lambda: self._agreed(agent.start(clock(), _wall())))
+        self.task = host.loop.spawn(self._run(view), self.name)
+
+    def end(self) -> None:
+        """As a process that is killed: its machine refuses from now on."""
+        if self.peers is not None:
+            self.peers.drop(self.mute)
+        self.peers, self.agent, self.alive, self.mute = None, None, False, False
+        self.host.moved()
+
+    def silence(self) -> None:
+        if self.alive and self.peers is not None:
+            self.peers.hush()
+            self.alive, self.mute = False, True
+            self.host.moved()
+
+    def _info(self) -> Info:
+        return Info(__version__, "hollow000000", self.zone, told=math.ceil(self.told.now) if self.view else 0)
+
+    def _run(self, view: View) -> Steps[None]:
+        while self.alive and self.view is view:
+            now = clock()
+            if view.due is not None and view.due <= now:
+                self._event(lambda: self._do(view.wake(clock())))
+            due = view.due
+            agent = self.agent
+            if agent is not None:
+                if now - self.looked >= AGENT_LOOK:
+                    self.looked = now
+                    self._event(partial(self._sighted, agent))
+                if agent.due <= now:
+                    self._event(partial(self._woken, agent))
+                due = min(agent.due, self.looked + AGENT_LOOK, due if due is not None else agent.due)
+            yield due if due is not None else now + SECOND
+
+    def _event(self, act: Callable[[], Any]) -> Any:
+        """One event, with its processor time; what it brings about at once is part of it."""
+        if self.within:
+            return act()
+        began, self.within = time.thread_time_ns(), True
+        try:
+            return act()
+        finally:
+            self.within = False
+            took = (time.thread_time_ns() - began) // 1000
+            self.cost[4] += took
+            self.cost[5] = max(self.cost[5], took)
+
+    # --- what goes in and out ---
+
+    def heard(self, data: bytes) -> None:
+        view = self.view
+        if self.alive and view is not None:
+            self._event(lambda: None if self._other(data) else self._do(view.datagram(clock(), data)))
+
+    def asked(self, data: bytes) -> bytes | None:
+        self.count(0, len(data) + codec.LENGTH)
+        if not self.alive or self._cut(data):
+            return None
+        answer: bytes | None = self._event(lambda: self._asked(data))
+        self.count(len(answer) if answer is not None else 0, 0, 0)
+        return answer
+
+    def _asked(self, data: bytes) -> bytes | None:
+        assert self.view is not None
+        if self._other(data):
+            return None
+        effects, answer = self.view.asked(clock(), data)
+        self._do(effects)
+        return answer
+
+    def _cut(self, data: bytes) -> bool:
+        """Whether a stream comes from where nothing comes from: only what is said in it tells."""
+        if not self.host.deaf or data[: len(agree_codec.MAGIC)] == agree_codec.MAGIC:
+            return False
+        try:
+            return codec.decode_stream(data, self.host.spec["fleet"]).sender.address in self.host.deaf
+        except codec.Junk:
+            return False
+
+    def _do(self, effects: list[Effect]) -> None:
+        view, peers = self.view, self.peers
+        if view is None or peers is None or not self.alive:
+            return
+        for effect in effects:
+            match effect:
+                case Send(to, data):
+                    peers.send(to, data)
+                case Stream(token, to, data):
+                    peers.stream(to, data, self._done(view, token))
+        self.follow()
+        task = self.task
+        if task is not None and view.due is not None and (task.due is None or view.due < task.due):
+            self.host.loop.wake(task)
+
+    def _done(self, view: View, token: int) -> Callable[[str, bytes], None]:
+        def done(how: str, answer: bytes) -> None:
+            if self.alive and self.view is view:
+                self._event(lambda: self._do(view.ended(clock(), token, how, answer)))
+
+        return done
+
+    def follow(self) -> None:
+        assert self.view is not None
+        before = self.told.now
+        if self.told.follow(clock(), number_of(self.view)) != before:  # type: ignore[arg-type]
+            self.host.moved()
+
+    # --- the agreement, where there is one ---
+
+    def _other(self, data: bytes) -> bool:
+        """Whether it is the agreement's."""
+        if self.agent is None or data[: len(agree_codec.MAGIC)] != agree_codec.MAGIC:
+            return False
+        try:
+            message = agents.decode(data, self.host.spec["fleet"])
+        except agree_codec.Junk:
+            return True
+        self._agreed(self.agent.message(clock(), _wall(), message))
+        return True
+
+    def _woken(self, agent: agents.Agent) -> None:
+        self._agreed(agent.wake(clock(), _wall()))
+
+    def _sighted(self, agent: agents.Agent) -> None:
+        view = self.view
+        assert view is not None
+        proxies = {
+            r.name: Peer(Thing(r.name, self.zone), r.life, r.here, r.state in ENDED)
+            for r in (view.me, *view.records.values())
+        }
+        self._agreed(agent.tell(clock(), _wall(), serving=True))
+        agent.life = max(agent.life, view.me.life)
+        self._agreed(agent.observe(clock(), _wall(), Sight(proxies, {}, view.spec.configured)))
+
+    def _agreed(self, effects: list[agents.Effect]) -> None:
+        agent, peers = self.agent, self.peers
+        if agent is None or peers is None or not self.alive:
+            return
+        for effect in effects:
+            match effect:
+                case agents.Send(to, message):
+                    self._say(peers, to, message)
+                case Persist():  # kept nowhere: who restarts is a new voter
+                    self._agreed(agent.stored(clock(), _wall(), effect.token))
+        if self.task is not None and (self.task.due is None or agent.due < self.task.due):
+            self.host.loop.wake(self.task)
+
+    def _say(self, peers: Wires, to: str, message: agents.Message) -> None:
+        assert self.view is not None
+        record = self.view.records.get(to)
+        address = self.host.voters.get(to) or (record.address if record is not None else None)
+        if address is None:
+            return
+        data = agents.encode(self.host.spec["fleet"], message)
+        if len(data) <= agree_codec.DATAGRAM_MAX:
+            peers.send(address, data)
+        else:
+            peers.stream(address, len(data).to_bytes(4, "big") + data, lambda how, answer: None)
+
+    @property
+    def leads(self) -> bool:
+        agent = self.agent
+        return agent is not None and agent.node is not None and agent.node.role is Role.LEADER
+
+    # --- what it holds ---
+
+    def look(self, marks: Callable[[str], int]) -> str:
+        """Zone, digest, a mark of the names held to be there, how many are suspected."""
+        view = self.view
+        assert view is not None
+        key = (view.digest, view.changed_at, len(view.records))
+        if key != self.seen[:3]:
+            names = sum(map(marks, view.ring)) + marks(view.me.name)
+            self.seen = (*key, names & ((1 << 64) - 1))
+            self.held = [name for name, r in view.records.items() if not r.here]
+        return f"{self.zone}|{view.digest:016x}|{self.seen[3]:016x}|{len(view.suspicions)}"
+
+
+class Host:
+    """The members of one hollow process, and its end of the socket to who runs it."""
+
+    def __init__(self, loop: Loop, sock: socket.socket) -> None:
+        self.loop = loop
+        self.conn = Conn(loop, sock, loop.spawn(self._orders(), "orders"), LINE_MOST)
+        self.lines: deque[bytes] = deque()
+        self.writer = loop.spawn(pour(self.conn, self.lines), "reports")
+        self.members: dict[str, Member] = {}
+        self.zones: list[list[Any]] = []
+        self.spec: dict[str, Any] = {}
+        self.kind: type[View] = View
+        self.voters: dict[str, Address] = {}
+        self.stand: list[Record] = []
+        self.dumb: set[Address] = set()  # where nothing of ours arrives
+        self.deaf: set[Address] = set()  # from where nothing arrives here
+        self.marked: dict[str, int] = {}
+        self.shares: list[tuple[int, float]] = []
+        self.own = 0  # processor time of the reports, microseconds: no member's
+        self.look_every = SECOND // 2
+
+    def _mark(self, name: str) -> int:
+        found = self.marked.get(name)
+        if found is None:
+            found = self.marked[name] = mark("name", name)
+        return found
+
+    # --- what is asked of it ---
+
+    def _orders(self) -> Steps[None]:
+        while not self.loop.stopped:
+            line = yield from self.conn.line(LINE_MOST, clock() + 3600 * SECOND)
+            if line is None:
+                self.loop.stopped = True  # whoever runs us is gone
+                return
+            try:
+                self.order(json.loads(line))
+            except OSError as error:
+                self.say({"failed": str(error)})
+
+    def order(self, doc: dict[str, Any]) -> None:
+        who = [self.members[name] for name in doc.get("who", ())]
+        match doc["do"]:
+            case "set up":
+                self._set_up(doc)
+            case "start":
+                stand = self.stand if doc.get("stand") else None
+                for member in who:
+                    member.begin(stand)
+            case "end":
+                for member in who:
+                    member.end()
+            case "mute":
+                for member in who:
+                    member.silence()
+            case "cut":
+                self.dumb = {(h, p) for h, p in doc["dumb"]}
+                self.deaf = {(h, p) for h, p in doc["deaf"]}
+            case "reset":
+                for member in who:
+                    if member.agent is not None:
+                        member._agreed(member.agent.reset(clock(), _wall())[1])
+            case "cordon":
+                for member in who:
+                    if member.view is not None and member.alive:
+                        wall = _wall()
+                        member._do(member.view.cordon(clock(), wall, doc["server"], doc["out"]))
+
+    def _set_up(self, doc: dict[str, Any]) -> None:
+        module, _, name = doc["view"].partition(":")
+        self.kind = getattr(importlib.import_module(module), name)
+        self.zones, self.spec = doc["zones"], doc["spec"]
+        if self.zones:
+            self.spec["zones"] = tuple((name, count) for name, count in self.zones)
+        self.look_every = doc["look_ms"] * MS
+        self.voters = {name: parse_address(text) for name, text in doc["voters"].items()}
+        self.stand = [Record(state=State.ALIVE, **row) for row in doc["stand"]]
+        for each in doc["members"]:
+            self.members[each["name"]] = Member(self, each)
+        for member in self.members.values():  # the addresses can be had
+            with socket.create_server(member.address, reuse_port=True):
+                pass
+        self.loop.spawn(self._report(), "report")
+        self.say({"ready": len(self.members)})
+
+    # --- what it says ---
+
+    def say(self, doc: dict[str, Any]) -> None:
+        self.lines.append(json.dumps(doc).encode() + b"\n")
+        self.loop.wake(self.writer)
+
+    def moved(self) -> None:
+        """A share has changed: what all that run here take together, from now on."""
+        self.shares.append((clock(), math.fsum(1.0 / m.told.now for m in self.members.values() if m.alive)))
+
+    def _report(self) -> Steps[None]:
+        due = told = clock()
+        while True:
+            began = time.thread_time_ns()
+            self._look()
+            if clock() - told >= SECOND - self.look_every // 2:
+                told = clock()
+                self._costs()
+                gc.collect(1)
+            self.own += (time.thread_time_ns() - began) // 1000
+            due = max(due + self.look_every, clock())
+            while clock() < due:
+                yield due
+
+    def _look(self) -> None:
+        groups: dict[str, int] = {}
+        held: dict[str, int] = {}
+        for member in self.members.values():
+            if not member.alive or member.view is None:
+                continue
+            member.view.info = member._info()
+            member.follow()
+            key = member.look(self._mark)
+            groups[key] = groups.get(key, 0) + 1
+            for name in member.held:
+                held[name] = held.get(name, 0) + 1
+        shares, self.shares = self.shares, []
+        leads = [m.name for m in self.members.values() if m.alive and m.leads]
+        self.say({"t": clock(), "groups": groups, "held": held, "shares": shares, "leads": leads})
+
+    def _costs(self) -> None:
+        costs = {}
+        for member in self.members.values():
+            if member.alive:
+                costs[member.name] = [*member.cost, round(member.told.now, 3)]
+                member.cost[:] = [0] * 6
+        cpu = time.process_time_ns() // 1000
+        self.say({"t": clock(), "costs": costs, "cpu": cpu, "own": self.own, "rss_kib": _resident()})
+
+
+def _wall() -> int:
+    return time.time_ns() // 1_000_000
+
+
+def _resident() -> int:
+    with open("/proc/self/status", encoding="ascii") as file:
+        return next(int(line.split()[1]) for line in file if line.startswith("VmRSS"))
+
+
+def main() -> None:
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # whoever runs us ends us
+    gc.disable()  # it would walk the records of all members at once, which no proxy has; see _report
+    loop = Loop()
+    Host(loop, socket.socket(fileno=int(sys.argv[1])))
+    loop.run()
+
+
+if __name__ == "__main__":
+    main()
--- a/arrowseam/lab/report.py
+++ b/arrowseam/lab/report.py
@@ -16,6 +16,7 @@
 matplotlib.use("svg")
 from matplotlib.figure import Figure
 
+from arrowseam.lab import scale
 from arrowseam.lab.schedules import Schedule
 from arrowseam.lab.stage import STATES, Record
 
@@ -74,6 +75,76 @@
     )
 
 
+SCALE = jinja2.Environment(autoescape=True).from_string("""<!doctype html>
+<html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
+<style>
+body { font: 14px/1.4 sans-serif; margin: 2em; max-width: 85em }
+table { border-collapse: collapse }
+td, th { padding: .15em .8em .15em 0; text-align: right; vertical-align: top }
+td:first-child, th:first-child { text-align: left }
+.bad { color: #a00 } svg { max-width: 100%; height: auto }
+</style></head><body>
+<h1>{{ title }}</h1>
+<p>{{ r.plan.members }} members, {{ r.plan.real }} of them real proxies, {{ r.plan.zones }} zone(s), a probe
+each {{ r.plan.period_ms }} ms, seed {{ r.plan.seed }}; {{ r.machine.cores }} cores; {{ r.began }};
+largest sum of shares {{ "%.4f"|format(r.share) }}; clients:
+{% for key, value in r.clients.items() %}{{ value }} {{ key }}{{ ", " if not loop.last }}{% endfor %}.</p>
+{% for text in r.said %}<p>{{ text }}.</p>{% endfor %}
+<h2>Verdict</h2>
+{% if r.broken %}<ul>{% for text in r.broken %}<li class="bad">{{ text }}</li>{% endfor %}</ul>
+{% else %}<p>No promise broken.</p>{% endif %}
+<h2>Phases</h2>
+<p>Bytes out and in, of datagrams' and streams' contents; seconds from the last fault of the phase
+(known: from its beginning). "-": not in this phase, or not reached.</p>
+<table><tr><th>fault</th><th>s</th><th>equal, s</th><th>known, s</th><th>whole share, s</th>
+<th>B/s median</th><th>worst</th><th>worst second</th><th>messages/s worst</th><th>core a member</th>
+<th>longest event, ms</th></tr>
+{% for p in r.phases %}<tr><td>{{ p.fault }}: {{ p.about }}</td><td>{{ "%.0f"|format(p.begin) }}</td>
+{% for key in ("equal", "known", "whole") %}<td>{{ "-" if p[key] is none else "%.1f"|format(p[key]) }}</td>
+{% endfor %}
+{% for key, form in (("bytes_median", "%.0f"), ("bytes_worst", "%.0f"), ("bytes_peak", "%.0f"),
+("messages_worst", "%.1f"), ("host_cpu_a_member_median", "%.4f"), ("event_ms_worst", "%.1f")) %}
+<td>{{ form|format(p.cost[key]) if key in p.cost else "-" }}</td>{% endfor %}</tr>
+{% endfor %}</table>
+{{ plots }}
+</body></html>
+""")
+
+
+def scale_page(record: scale.Record, title: str) -> str:
+    return SCALE.render(title=title, r=record, plots=_svg(_scale_plots(record)) if record.seconds else "")
+
+
+def _scale_plots(record: scale.Record) -> Figure:
+    """Over time: bytes of the median and the worst member, the longest event, the sum of shares."""
+    times, members, median, worst, event, share = zip(*record.seconds)
+    figure = Figure(figsize=(12, 10))
+    rows: list[tuple[str, list[tuple[str, tuple[float, ...]]]]] = [
+        ("bytes a second", [("median", median), ("worst", worst)]),
+        ("longest event, ms", [("worst", event)]),
+        ("members that told", [("members", members)]),
+        ("sum of shares", [("largest in the second", share)]),
+    ]
+    for axes, (label, lines) in zip(figure.subplots(len(rows), sharex=True), rows):
+        for name, line in lines:
+            axes.plot(times, line, label=name, lw=1)
+        for phase in record.phases:
+            axes.axvspan(
+                phase["begin"], max(phase["ends"], phase["begin"] + 0.2), color="#000", alpha=0.1, lw=0
+            )
+            if label == "bytes a second":
+                axes.text(
+                    phase["begin"], 1.0, phase["fault"], transform=axes.get_xaxis_transform(), va="bottom"
+                )
+        if label == "bytes a second":
+            axes.set_yscale("symlog", linthresh=100)
+            axes.axhline(4096, ls=":", color="#a00", lw=1)
+        axes.set_ylabel(label)
+        axes.legend(frameon=False, loc="upper right")
+    axes.set_xlabel("seconds; grey: a fault goes on; dotted: 4 KB a second")
+    return figure
+
+
 def beliefs(record: Record, speaker: str, about: str) -> list[tuple[float, float, str]]:
     """Spans in which ``speaker`` held ``about`` for something: from, to, state."""
     spans, state, since = [], "alive", 0.0
--- /dev/null
+++ b/tests/test_scale.py
@@ -0,0 +1,112 @@
+"""Scale runs: hollow processes beside real proxies on loopback, judged; the virtual clock at size."""
+
+from __future__ import annotations
+
+import json
+import os
+import signal
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from arrowseam.cli import main
+from arrowseam.lab import scale
+from arrowseam.lab.scale import Machine, Plan, Unfit
+
+ROOT = Path(__file__).resolve().parents[1]
+SMALL = Plan(30, real=2, faults=("restart", "silent"), seconds=3.0, period_ms=100, per_host=15)
+BIG = Machine(8, 24_000, 20_000)
+
+
+def test_a_small_run_is_judged_clean_and_leaves_a_record(tmp_path: Path) -> None:
+    record = scale.play(SMALL, tmp_path)
+    assert record.broken == []
+    assert [p["fault"] for p in record.phases] == ["start", "restart", "silent"]
+    assert all(p["equal"] is not None for p in record.phases)
+    restart, silent = record.phases[1:]
+    assert restart["whole"] is not None and len(silent["ended"]) == 1 and silent["known"] is not None
+    assert record.clients["came"] == record.clients["up"] > 0
+    assert 0.9 < record.share <= 1.0 + 1e-6
+    assert any("stretched" in text for text in record.said)  # a period that isn't the true one is told
+
+    kept = json.loads((tmp_path / "run.json").read_text())
+    names = {row["name"] for row in kept["series"]}
+    assert {"fleet.start.bytes_worst", "fleet.silent.known", "fleet.restart.whole"} <= names
+    assert all(row["samples"][0][0] == 30 for row in kept["series"])
+
+    result = CliRunner().invoke(main, ["lab", "report", str(tmp_path)])
+    assert result.exit_code == 0, result.output
+    page = (tmp_path / "report.html").read_text()
+    assert "<svg" in page and "No promise broken" in page and "1 silent" in page
+
+
+def test_silence_taken_for_an_end_is_told() -> None:
+    """Both sides of a cut take the other's shares: the sum goes over one."""
+    plan = Plan(
+        24, real=0, faults=("cut",), seconds=3.0, period_ms=100, per_host=6, spans={"cut": 5.0},
+        view="arrowseam.lab.planted:SilentCountedOut",
+    )  # fmt: skip
+    record = scale.play(plan)
+    assert record.share > 1.05
+    assert any(text.startswith("the shares of all that ran added up to") for text in record.broken)
+
+
+def test_who_does_not_come_back_after_it_stood_still_is_told() -> None:
+    """A hollow process stands still until it is held dead, and what is said of it is let stand."""
+    plan = Plan(
+        24, real=0, faults=("stop",), seconds=3.0, period_ms=100, per_host=6, spans={"stop": 4.0}, settle=6.0,
+        view="arrowseam.lab.planted:NoRefutation",
+    )  # fmt: skip
+    broken = scale.play(plan).broken
+    assert any("runs and is held dead" in text for text in broken)
+    assert any(text.startswith("stop: views differ") for text in broken)
+
+
+@pytest.mark.parametrize(
+    ("plan", "on", "said"),
+    [
+        (Plan(2_000, per_host=2), BIG, "processes; at most 300"),
+        (Plan(1_000), Machine(8, 1_000, 20_000), "at most half of the 1000 MiB"),
+        (Plan(1_000), Machine(8, 24_000, 1_024), "descriptors in a process; the limit is 1024"),
+        (Plan(2_000), Machine(2, 240_000, 20_000), "--period-ms .* would fit, stretched"),
+        (Plan(2_000, faults=("rest", "flood")), BIG, "no fault is called 'flood'"),
+        (Plan(100, faults=("leader",)), BIG, "a leader takes --agent"),
+        (Plan(10, real=11), BIG, "do not go into 1 zones"),
+        (Plan(10, zones=11), BIG, "do not go into 11 zones"),
+    ],
+)
+def test_what_would_not_fit_is_refused_before_anything_starts(plan: Plan, on: Machine, said: str) -> None:
+    with pytest.raises(Unfit, match=said) as error:
+        scale.check(plan, on)
+    assert "\n" not in str(error.value)
+
+
+def test_a_stretched_period_that_is_asked_for_fits() -> None:
+    scale.check(Plan(500, period_ms=3_000), Machine(2, 24_000, 20_000))
+
+
+def test_the_command_refuses_in_one_line() -> None:
+    result = CliRunner().invoke(main, ["lab", "scale", "--members", "20000", "--per-host", "10"])
+    assert result.exit_code == 1 and result.output.startswith("Error: ") and result.output.count("\n") == 1
+
+
+@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
+def test_nothing_is_left_running_after_an_interrupt(number: signal.Signals) -> None:
+    run = subprocess.Popen(
+        [sys.executable, "-u", "-m", "arrowseam", "lab", "scale", "--members", "20", "--per-host", "10",
+         "--real", "1", "--seconds", "60", "--period-ms", "100"],
+        stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, cwd=ROOT,
+    )  # fmt: skip
+    assert run.stdout is not None
+    assert run.stdout.readline().startswith("reckoned: ")
+    while "hold the commonest view" not in (line := run.stdout.readline()):
+        assert line, "it ended before it told of its progress"
+    children = Path(f"/proc/{run.pid}/task/{run.pid}/children").read_text().split()
+    assert len(children) == 3  # two hollow processes and a proxy
+    os.kill(run.pid, number)
+    _, told = run.communicate(timeout=20)
+    assert run.returncode == 130 and "all that was started has been ended" in told
+    assert not [pid for pid in children if Path(f"/proc/{pid}").exists()]
