--- a/arrowseam/lab/hollow.py
+++ b/arrowseam/lab/hollow.py
@@ -43,10 +43,10 @@
 AGENT_LOOK = 200 * MS  # as in agree/keeper.py
 
 
-def number_of(view: View) -> float:
+def number_of(view: View) -> int:
     """What the member's module would be told."""
     spec = view.spec
-    return size.wanted(spec.configured, view.known, view.over, view.met)
+    return size.wanted(spec.configured, view.known, view.over, view.strange)
 
 
 def pour(conn: Conn, lines: deque[bytes]) -> Steps[None]:
@@ -164,7 +164,7 @@
         me = Record(self.name, life, nonce, 0, State.ALIVE, *self.address, **extra)
         spec = Spec(seeds=self.seeds, **host.spec, **extra)
         self.view = host.kind(me, spec, random.Random(secrets.randbits(64)), self._info())
-        self.told = size.Told(math.ceil(number_of(self.view)))
+        self.told = size.Told(number_of(self.view))
         self.peers = Wires(self)
         self.alive, self.mute, self.seen = True, False, ()
         view = self.view
@@ -197,7 +197,7 @@
             self.host.moved()
 
     def _info(self) -> Info:
-        return Info(__version__, "hollow000000", self.zone, told=math.ceil(self.told.now) if self.view else 0)
+        return Info(__version__, "hollow000000", self.zone, told=self.told.now if self.view else 0)
 
     def _run(self, view: View) -> Steps[None]:
         while self.alive and self.view is view:
@@ -285,7 +285,7 @@
     def follow(self) -> None:
         assert self.view is not None
         before = self.told.now
-        if self.told.follow(clock(), number_of(self.view)) != before:  # type: ignore[arg-type]
+        if self.told.follow(clock(), number_of(self.view)) != before:
             self.host.moved()
 
     # --- the agreement, where there is one ---
@@ -488,7 +488,7 @@
         costs = {}
         for member in self.members.values():
             if member.alive:
-                costs[member.name] = [*member.cost, round(member.told.now, 3)]
+                costs[member.name] = [*member.cost, member.told.now]
                 member.cost[:] = [0] * 6
         cpu = time.process_time_ns() // 1000
         self.say({"t": clock(), "costs": costs, "cpu": cpu, "own": self.own, "rss_kib": _resident()})
--- a/arrowseam/lab/virtual.py
+++ b/arrowseam/lab/virtual.py
@@ -20,6 +20,12 @@
 SILENT = 500 * MS  # a stream that brings nothing is given up after so long
 WALL = 1_700_000_000_000_000  # the wall clock when a run begins, microseconds
 PORT = 7000
+WHOLE = 1 << 100  # units of a budget: shares are summed in whole numbers, so that the sum never drifts
+
+
+def units(told: int) -> int:
+    """What a process that is told so many takes of a budget, rounded up."""
+    return -(-WHOLE // told)
 
 
 @dataclass
@@ -34,6 +40,8 @@
     waiting: list[Callable[[], None]] = field(default_factory=list)  # what comes while it stands still
     cordoned: set[str] = field(default_factory=set)
     least: int = 1 << 60  # the smallest number its module was ever told
+    units: int = 0  # what it takes of a budget, while it runs
+    woken_at: int | None = None  # when it is woken next, as far as that is under way
 
 
 class Net(Queue):
@@ -50,7 +58,9 @@
         view: type[View] = View,
         wanted: Callable[[int, int, int, int], int] = size.wanted,
         configured: int | None = None,
+        zones: dict[str, int] | None = None,
     ) -> None:
+        """``zones``: sizes by name; the members are dealt out to them in order."""
         super().__init__()
         self.rnd = random.Random(seed)
         self.loss, self.delay, self.doubled = loss, delay, 0.0
@@ -59,6 +69,14 @@
         self.names = [f"m{n}" for n in range(members)]
         chosen = tuple((name, PORT) for name in self.names[:seeds])
         self.spec = replace(spec or Spec(), seeds=chosen, configured=self.configured)
+        self.zones = zones or {}
+        self.zone_of = dict.fromkeys(self.names, "")
+        if zones is not None:
+            if sum(zones.values()) != members:
+                raise ValueError(f"zones of {sum(zones.values())} in all, {members} members")
+            dealt = [zone for zone, count in zones.items() for _ in range(count)]
+            self.zone_of = dict(zip(self.names, dealt))
+        self.specs = {zone: self._spec_of(zone, seeds) for zone in self.zones or [""]}
         self.cut: set[tuple[str, str]] = set()  # ways that are down, by direction
         self.off: set[str] = set()  # machines that are down: nothing there refuses anything
         self.skew: dict[str, int] = {}  # of a machine's wall clock, microseconds
@@ -66,25 +84,74 @@
         self.notes: list[tuple[int, str, Note]] = []
         self.sent = self.bytes = 0
         self.watch: Callable[[], None] = lambda: None  # called after every event
-        self.share = 0.0  # the most that all running processes together took of a budget
+        self.taken = 0  # what all running processes together take of a budget, in units
+        self.sum = 0.0  # the same as a part of it
+        self.share = 0.0  # the most that it ever was
+
+    def _spec_of(self, zone: str, seeds: int) -> Spec:
+        """Seeds are the first of its zone, and the first of each other."""
+        if not self.zones:
+            return self.spec
+        firsts: dict[str, list[str]] = {}
+        for name, other in self.zone_of.items():
+            firsts.setdefault(other, []).append(name)
+        chosen = [*firsts[zone][:seeds], *(names[0] for other, names in firsts.items() if other != zone)]
+        more: dict[str, Any] = {"zone": zone, "zones": tuple(self.zones.items())}
+        return replace(self.spec, seeds=tuple((name, PORT) for name in chosen), **more)
 
     # --- processes ---
 
-    def start(self, name: str) -> Process:
-        if name in self.running:
-            self.kill(name)
-        wall = WALL + self.now + self.skew.get(name, 0)
-        me = Record(name, wall, self.rnd.getrandbits(62), 0, State.ALIVE, name, PORT)
-        view = self.kind(me, self.spec, random.Random(self.rnd.getrandbits(64)))
+    def _begin(self, name: str, record: Record | None = None) -> Process:
+        """A new process under this name, which has not been started."""
+        self.kill(name)
+        zone = self.zone_of.setdefault(name, next(iter(self.specs)))
+        me = record if record is not None else self.record(name)
+        view = self.kind(me, self.specs[zone], random.Random(self.rnd.getrandbits(64)))
         first = self.wanted(self.configured, 1, 0, self.configured - 1)
         process = self.running[name] = Process(name, view, size.Told(first))
-        self._do(process, view.start(self.now))
+        self._share(process)
         return process
 
+    def record(self, name: str) -> Record:
+        """Of a process that would start now."""
+        wall = WALL + self.now + self.skew.get(name, 0)
+        more: dict[str, Any] = {"zone": self.zone_of[name]} if self.zones else {}
+        return Record(name, wall, self.rnd.getrandbits(62), 0, State.ALIVE, name, PORT, **more)
+
+    def start(self, name: str) -> Process:
+        process = self._begin(name)
+        self._do(process, process.view.start(self.now))
+        return process
+
+    def stand(self, names: list[str] | None = None) -> None:
+        """Start members that know each other, their zone's, as a fleet that has stood for long."""
+        records = {name: self.record(name) for name in (names if names is not None else self.names)}
+        by_zone: dict[str, list[Record]] = {}
+        for name, record in records.items():
+            by_zone.setdefault(self.zone_of[name], []).append(record)
+        for name, record in records.items():
+            process = self._begin(name, record)
+            others = [r for r in by_zone[self.zone_of[name]] if r is not record]
+            self._do(process, process.view.stand(self.now, others))  # type: ignore[attr-defined]
+
     def kill(self, name: str) -> None:
         process = self.running.pop(name, None)
         if process is not None:
             process.alive = False
+            self._take(-process.units)
+
+    # --- what they take of a budget ---
+
+    def _take(self, more: int) -> None:
+        self.taken += more
+        self.sum = self.taken / WHOLE
+
+    def _share(self, process: Process) -> None:
+        now = units(process.told.now)
+        if now != process.units:
+            more, process.units = now - process.units, now
+            if process.alive:
+                self._take(more)
 
     def leave(self, name: str) -> None:
         """On purpose: it says so, and is gone a second later."""
@@ -127,8 +194,23 @@
 
     def _wake(self, process: Process) -> None:
         due = process.view.due
-        if process.alive and process.stalled_until <= self.now and due is not None and due <= self.now:
-            self._do(process, process.view.wake(self.now))
+        if process.alive and process.stalled_until <= self.now and due is not None:
+            if due <= self.now:
+                self._do(process, process.view.wake(self.now))
+            else:
+                self._arm(process, due)
+
+    def _arm(self, process: Process, due: int) -> None:
+        """Have it woken, unless it is woken by then anyway: it is armed again whenever it is."""
+        due = max(due, self.now)
+        if process.woken_at is None or due < process.woken_at:
+            process.woken_at = due
+            self.at(due, lambda: self._due(process, due))
+
+    def _due(self, process: Process, at: int) -> None:
+        if process.woken_at == at:
+            process.woken_at = None
+            self._wake(process)
 
     def _do(self, process: Process, effects: list[Effect]) -> None:
         for effect in effects:
@@ -143,10 +225,14 @@
                     self.notes.append((self.now, process.name, effect))
         view = process.view
         number = self.wanted(self.configured, view.known, view.over, view.strange)
-        process.least = min(process.least, process.told.follow(self.now, number))
+        before = process.told.now
+        told = process.told.follow(self.now, number)
+        process.least = min(process.least, told)
+        if told != before:
+            self._share(process)
         if view.due is not None:
-            self.at(max(view.due, self.now), lambda: self._wake(process))
-        self.share = max(self.share, sum(1.0 / p.told.now for p in self.running.values()))
+            self._arm(process, view.due)
+        self.share = max(self.share, self.sum)
         self.watch()
 
     def _late(self) -> int:
@@ -229,12 +315,22 @@
         return {r.name for r in process.view.records.values() if r.here} | {process.view.me.name}
 
     def agreed(self) -> bool:
-        """Whether each running process holds just the running ones, alive, and all hold the same cordons."""
-        running = set(self.running)
-        for process in self.running.values():
-            records = process.view.records
-            if self.here(process) != running:
+        """Whether each running process holds just the running ones of its zone, alive, and all of a zone hold
+        the same cordons."""
+        running: dict[str, set[str]] = {}
+        digests: dict[str, int] = {}
+        for name, process in self.running.items():
+            zone = self.zone_of[name]
+            running.setdefault(zone, set()).add(name)
+            if digests.setdefault(zone, process.view.digest) != process.view.digest:
+                return False
+        # Cheap first: to look at every record of each is for when all this holds.
+        if any(p.view.count != len(running[self.zone_of[n]]) for n, p in self.running.items()):
+            return False
+        for name, process in self.running.items():
+            records, ours = process.view.records, running[self.zone_of[name]]
+            if self.here(process) != ours:
                 return False
-            if any(records[name].state is not State.ALIVE for name in running - {process.name}):
+            if any(records[other].state is not State.ALIVE for other in ours - {name}):
                 return False
-        return len({p.view.digest for p in self.running.values()}) <= 1
+        return True
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,6 +7,7 @@
 import signal
 import subprocess
 import sys
+from fractions import Fraction
 from pathlib import Path
 
 import pytest
@@ -15,6 +16,8 @@
 from arrowseam.cli import main
 from arrowseam.lab import scale
 from arrowseam.lab.scale import Machine, Plan, Unfit
+from arrowseam.lab.schedules import Player, draw
+from arrowseam.lab.virtual import SECOND, Net, units
 
 ROOT = Path(__file__).resolve().parents[1]
 SMALL = Plan(30, real=2, faults=("restart", "silent"), seconds=3.0, period_ms=100, per_host=15)
@@ -110,3 +113,46 @@
     _, told = run.communicate(timeout=20)
     assert run.returncode == 130 and "all that was started has been ended" in told
     assert not [pid for pid in children if Path(f"/proc/{pid}").exists()]
+
+
+# --- the virtual clock ---
+
+
+@pytest.mark.parametrize("seed", range(12))
+def test_the_sum_of_shares_that_is_kept_up_is_the_plain_sum(seed: int) -> None:
+    """At every event of drawn schedules: exactly what all that run take, in whole units."""
+    player = Player(draw(seed))
+    net, watch, looks = player.net, player.net.watch, [0]
+
+    def plain() -> None:
+        looks[0] += 1
+        assert net.taken == sum(units(p.told.now) for p in net.running.values())
+        exact = sum((Fraction(1, p.told.now) for p in net.running.values()), Fraction(0))
+        assert abs(net.sum - float(exact)) < 1e-15 * max(1, len(net.running))
+        assert net.share >= net.sum
+        watch()
+
+    net.watch = plain
+    verdict = player.play()
+    assert verdict.broken == [] and looks[0] > 100
+
+
+def test_a_process_that_is_killed_takes_nothing_from_then_on() -> None:
+    net = Net(3, 1)
+    for name in net.names:
+        net.start(name)
+    assert net.until(net.agreed, 10 * SECOND) is not None
+    taken, told = net.taken, net.running["m1"].told.now
+    net.kill("m1")
+    assert net.taken == taken - units(told)
+    assert net.until(net.agreed, 10 * SECOND) is not None
+
+
+def test_members_wake_once_for_each_time_that_is_due() -> None:
+    """A wake that is under way isn't asked for again: at rest there are few events ahead, however long."""
+    net = Net(20, 1)
+    for name in net.names:
+        net.start(name)
+    net.until(net.agreed, 10 * SECOND)
+    net.run(net.now + 20 * SECOND)
+    assert len(net.events) < 20 * 20
