--- a/arrowseam/cli/__init__.py
+++ b/arrowseam/cli/__init__.py
@@ -223,9 +223,10 @@
     "--per-host", type=click.IntRange(1, 200), default=50, show_default=True, help="Hollow members."
 )
 @click.option("--seed", type=int, default=1, show_default=True, help="Of who is hit, not of the timing.")
+@click.option("--spread", type=click.FloatRange(0, 120), default=0.0, help="Seconds of the first start.")
 def lab_scale(
     members: int, real: int, zones: int, faults: str, seconds: float, out: str | None, period_ms: int,
-    standing: bool, agent: bool, per_host: int, seed: int,
+    standing: bool, agent: bool, per_host: int, seed: int, spread: float,
 ) -> None:  # fmt: skip
     """Run many hollow members beside real proxies under traffic, with faults, and judge it.
 
@@ -236,7 +237,7 @@
 
     plan = {"members": members, "real": real, "zones": zones, "faults": tuple(faults.split(",")),
             "seconds": seconds, "period_ms": period_ms, "standing": standing, "agent": agent,
-            "per_host": per_host, "seed": seed}  # fmt: skip
+            "per_host": per_host, "seed": seed, "spread": spread}  # fmt: skip
     sys.exit(lab.scale(plan, out))
 
 
--- a/arrowseam/lab/rig.py
+++ b/arrowseam/lab/rig.py
@@ -257,10 +257,12 @@
                 got.append("")
                 return
             yield from conn.send(words.encode() + b"\n" + body, due)
+            answer = bytearray()  # of any length: the view of a thousand members takes 300 KB
             while not conn.eof and clock() < due:
                 if not conn.fill() and not conn.eof:
                     yield due
-            got.append(conn.inbox.take(len(conn.inbox)).decode().strip())
+                answer += conn.inbox.take(len(conn.inbox))
+            got.append(answer.decode().strip())
             conn.close()
 
         self.loop.spawn(run(), "operator")
