--- a/arrowseam/lab/hollow.py
+++ b/arrowseam/lab/hollow.py
@@ -172,7 +172,7 @@
             self._event(lambda: self._do(view.start(clock())))
         else:
             others = [r for r in stand if r.name != self.name]
-            self._event(lambda: self._do(view.stand(clock(), others)))  # type: ignore[attr-defined]
+            self._event(lambda: self._do(view.stand(clock(), others)))
         if host.voters:
             self.agent = agents.Agent(
                 self.name, life, secrets.randbits(62),
