--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -3,6 +3,7 @@
     python benchmarks/fleet_sim.py sizes [--sizes 10,100,1000,3000] [--seconds 60]
         [--losses 0,0.3] [--lifeguard]
     python benchmarks/fleet_sim.py schedules [--count 10000] [--first 0]
+    python benchmarks/fleet_sim.py zones [--count 3000] [--first 0]
     python benchmarks/fleet_sim.py planted [--count 150]
     python benchmarks/fleet_sim.py holdup [--sizes 500]
 
@@ -27,7 +28,7 @@
 
 from arrowseam.fleet.view import Spec
 from arrowseam.lab import planted
-from arrowseam.lab.schedules import Player, draw
+from arrowseam.lab.schedules import Player, ZonePlayer, draw, draw_zones
 from arrowseam.lab.virtual import MS, SECOND, Net, Process
 
 
@@ -101,7 +102,12 @@
     return seed, verdict.broken, verdict.settled, verdict.share, verdict.strangers
 
 
-def schedules(count: int, first: int, jobs: int) -> int:
+def play_zones(seed: int) -> tuple[int, list[str], int | None, float, bool]:
+    verdict = ZonePlayer(draw_zones(seed)).play()
+    return seed, verdict.broken, verdict.settled, verdict.share, verdict.strangers
+
+
+def schedules(count: int, first: int, jobs: int, play: Any = play) -> int:
     with Pool(jobs) as pool:
         rows = list(pool.imap_unordered(play, range(first, first + count), chunksize=20))
     times = sorted(settled for _, _, settled, *_ in rows if settled is not None)
@@ -192,7 +198,7 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("what", choices=("sizes", "schedules", "planted", "holdup"))
+    parser.add_argument("what", choices=("sizes", "schedules", "zones", "planted", "holdup"))
     parser.add_argument("--sizes")
     parser.add_argument("--seconds", type=int, default=60)
     parser.add_argument("--count", type=int)
@@ -208,6 +214,8 @@
         holdup(_numbers(given.sizes or "500"))
     elif given.what == "planted":
         bite(given.count or 150, given.jobs)
+    elif given.what == "zones":
+        raise SystemExit(bool(schedules(given.count or 3_000, given.first, given.jobs, play_zones)))
     else:
         raise SystemExit(bool(schedules(given.count or 10_000, given.first, given.jobs)))
 
