--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -781,14 +781,7 @@
             record = None
         if how == "refused":
             if record is not None:
-                self.refused.add(record.who)
-                self._judge(record.name)
-            if record is not None and record.state < State.GONE:
-                self._set(record.as_(State.GONE, self.me.name))
-                if self.probe is not None and self.probe.target.who == who:
-                    # Found, and no fault of ours: on to the next at once, where many may have ended together.
-                    self.probe = None
-                    self._probe_in(NEXT)
+                self._proven(record)
             return
         if how != "ok":
             return
@@ -802,6 +795,9 @@
             self._state_answered(message)
             return
         if self._foreign(message.sender):
+            if record is not None and message.sender.name == record.name and message.sender.who != who:
+                # We knew of the life that was here before we asked at its address: it has ended.
+                self._proven(record)
             self._message(message)
             if not self.ring:
                 self._exchange(message.sender.address)  # it may know members of our zone
@@ -811,6 +807,17 @@
         if not was_here or message.digest != self.digest:
             self._exchange(message.sender.address)  # it was buried: its side has much to tell
 
+    def _proven(self, record: Record) -> None:
+        """Its address told us that this life has ended."""
+        self.refused.add(record.who)
+        self._judge(record.name)
+        if record.state < State.GONE:
+            self._set(record.as_(State.GONE, self.me.name))
+            if self.probe is not None and self.probe.target.who == record.who:
+                # Found, and no fault of ours: on to the next at once, where many may have ended together.
+                self.probe = None
+                self._probe_in(NEXT)
+
     # --- probing ------------------------------------------------------------------------------------------
 
     def _probe_in(self, span: int) -> None:
@@ -1219,12 +1226,9 @@
     def _met_abroad(self, r: Record) -> None:
         """A member of another zone speaks to us itself."""
         held = self.records.get(r.name)
-        if held is not None and (r.life, r.nonce) > (held.life, held.nonce) and r.address == held.address:
-            # Its address is another life's now, in another zone: the one that was here has ended.
-            self.refused.add(held.who)
-            if held.state not in ENDED:
-                self._set(held.as_(State.GONE, self.me.name))
-            self._judge(r.name)
+        if held is not None and r.address == held.address and held.name not in self.counted_out:
+            # Its address may be another life's now; what came may be late, or its clock wrong: we look.
+            self._knock(held)
         if r.name == self.me.name and r.nonce not in self.namesakes:
             self.namesakes.add(r.nonce)
             self.figures["namesakes"] += 1
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -2,9 +2,59 @@
 
 from __future__ import annotations
 
+import random
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+import msgspec
 import pytest
 
+from arrowseam.fleet import codec, size
+from arrowseam.fleet.codec import Summary
+from arrowseam.fleet.cordons import Cordon
+from arrowseam.fleet.records import Info, Record, State
+from arrowseam.fleet.view import Spec, View
+from arrowseam.fleet.zones import SPEAKERS, Zones, rank
 from arrowseam.lab.schedules import ZonePlayer, draw_zones
+from arrowseam.lab.virtual import MS, SECOND, Net
+
+ONE = 1 + 1e-9
+
+
+def zoned(zones: dict[str, int], seed: int = 1, span: int = 5 * SECOND, **fields: Any) -> Net:
+    """A fleet that stands."""
+    net = Net(sum(zones.values()), seed, zones=zones, **fields)
+    net.stand()
+    net.run(net.now + span)
+    return net
+
+
+def of(net: Net, zone: str) -> list[str]:
+    return [name for name in net.names if net.zone_of[name] == zone]
+
+
+def speakers(net: Net, zone: str) -> list[str]:
+    return sorted(of(net, zone), key=rank)[:SPEAKERS]
+
+
+def told(net: Net, event: str) -> list[tuple[str, str]]:
+    """Who said this, and the text."""
+    return [(who, note.text) for _, who, note in net.notes if note.event == event]
+
+
+def silent(net: Net, zone: str) -> dict[str, bool]:
+    """What each member of other zones holds of this one."""
+    return {
+        name: process.view.zones.held[zone].silent
+        for name, process in net.running.items()
+        if net.zone_of[name] != zone
+    }
+
+
+def everywhere(net: Net, server: str, out: bool = True) -> bool:
+    return all((server in process.cordoned) == out for process in net.running.values())
+
 
 # --- drawn schedules --------------------------------------------------------------------------------------
 
@@ -13,3 +63,393 @@
 def test_drawn_schedules_keep_every_promise(seed: int) -> None:
     verdict = ZonePlayer(draw_zones(seed)).play()
     assert verdict.broken == []
+
+
+# --- hard cases -------------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("dark", [False, True])
+def test_a_zone_whose_speakers_all_end_at_once_speaks_on(dark: bool) -> None:
+    net = zoned({"a": 12, "b": 8, "c": 8})
+    beat = net.running[of(net, "b")[0]].view.zones.held["a"].beat
+    for name in speakers(net, "a"):
+        if dark:
+            net.off.add(name)
+        net.kill(name)
+    net.run(net.now + 12 * SECOND)
+    assert not told(net, "zone.silent")
+    for name in of(net, "b") + of(net, "c"):
+        zone = net.running[name].view.zones.held["a"]
+        assert zone.beat >= beat + 6 and zone.summary is not None and zone.summary.here == 9
+    assert net.agreed() and net.share <= ONE
+
+
+def test_a_speaker_that_stood_still_does_not_put_old_summaries_in_force() -> None:
+    net = zoned({"a": 8, "b": 6})
+    first = speakers(net, "a")[0]
+    net.stall(first, 10 * SECOND)
+    rest = [name for name in of(net, "a") if name not in speakers(net, "a")]
+    for name in rest[:2]:
+        net.kill(name)
+    net.run(net.now + 9 * SECOND)
+    held = [net.running[name].view.zones.held["a"].summary for name in of(net, "b")]
+    assert {(s.here, s.silent, s.over) for s in held if s} == {(5, 1, 2)}
+    net.run(net.now + 6 * SECOND)  # it has woken
+    held = [net.running[name].view.zones.held["a"].summary for name in of(net, "b")]
+    assert {(s.here, s.silent, s.over) for s in held if s} == {(6, 0, 2)}
+    assert net.agreed() and net.share <= ONE and not told(net, "zone.silent")
+
+
+@pytest.mark.parametrize("from_c", [False, True])
+def test_a_region_cut_one_way_only(from_c: bool) -> None:
+    """Whoever does not hear it tells it as silent; nobody is held dead, no share moves; then it is back."""
+    net = zoned({"a": 5, "b": 5, "c": 6})
+    groups = [of(net, "c"), of(net, "a") + of(net, "b")]
+    net.part(*(groups if from_c else groups[::-1]), one_way=True)
+    net.run(net.now + 20 * SECOND)
+    assert net.agreed() and net.share <= ONE
+    assert set(silent(net, "c").values()) == {from_c}
+    assert {silent(net, "a")[name] for name in of(net, "c")} == {not from_c}
+    net.heal()
+    net.run(net.now + 8 * SECOND)
+    assert not any(any(silent(net, zone).values()) for zone in "abc")
+    net.cordon(of(net, "c")[0], "s1", True)
+    assert net.until(lambda: everywhere(net, "s1"), 2 * SECOND) is not None
+
+
+def test_two_regions_cut_from_each_other_each_start_a_tenth_again_then_heal() -> None:
+    net = zoned({"a": 20, "b": 20, "c": 20, "d": 20})
+    one, other = of(net, "a") + of(net, "b"), of(net, "c") + of(net, "d")
+    net.part(one, other)
+    net.run(net.now + 10 * SECOND)
+    assert all(silent(net, "a")[name] for name in other)
+    for name in one[::10] + other[::10]:
+        net.start(name)
+    net.cordon(one[1], "s1", True)
+    net.cordon(other[1], "s2", True)
+    net.run(net.now + 10 * SECOND)
+    assert net.agreed() and {p.told.now for p in net.running.values()} == {80}
+    net.heal()
+    took = net.until(lambda: everywhere(net, "s1") and everywhere(net, "s2"), 8 * SECOND)
+    assert took is not None
+    net.run(net.now + 8 * SECOND)
+    assert not any(any(silent(net, zone).values()) for zone in "abcd")
+    assert net.agreed() and net.share <= ONE
+    assert not told(net, "member.dead")
+
+
+def test_zones_of_one_member() -> None:
+    net = zoned({"a": 1, "b": 1, "c": 1, "d": 5})
+    assert {p.told.now for p in net.running.values()} == {8}
+    net.cordon("m0", "s1", True)
+    assert net.until(lambda: everywhere(net, "s1"), 2 * SECOND) is not None
+    net.kill("m1")
+    net.run(net.now + 9 * SECOND)
+    assert all(silent(net, "b").values())
+    net.start("m1")
+    assert net.until(lambda: not any(silent(net, "b").values()), 8 * SECOND) is not None
+    assert net.running["m1"].told.now == 8 and "s1" in net.running["m1"].cordoned
+
+
+def test_a_mass_start_with_all_seeds_dead_but_one() -> None:
+    net = Net(150, 1, zones={"a": 50, "b": 50, "c": 50})
+    seeds = {host for spec in net.specs.values() for host, _ in spec.seeds}
+    living = "m0"
+    net.off |= seeds - {living}
+    for name in net.names:
+        if name not in net.off:
+            net.start(name)
+    assert len(seeds) == 9
+    took = net.until(net.agreed, 30 * SECOND)
+    assert took is not None
+    whole = {process.view.share_of() for process in net.running.values()}
+    net.run(net.now + 5 * SECOND)
+    assert net.share <= ONE
+    # Two or three seeds of each zone never were: nobody has answered for them, and all pay for that.
+    assert max(whole) <= size.wanted(50, 48, 0, 3, size.Fraction(1, 3))
+    sent = net.running[living].view.figures["bytes_out"]
+    print(f"all met after {took / SECOND:.2f} s; the seed that lives sent {sent} bytes")
+
+
+@pytest.mark.parametrize("sizes", [(6, 6)])
+def test_a_name_that_is_used_in_two_regions_is_told_and_harmless(sizes: tuple[int, int]) -> None:
+    net = Net(sum(sizes), 1, zones={"a": sizes[0], "b": sizes[1]})
+    net.stand([name for name in net.names if name != "m11"])
+    double = net._begin("m11", msgspec.structs.replace(net.record("m11"), name="m0"))
+    net._do(double, double.view.start(net.now))
+    net.run(net.now + 20 * SECOND)
+    assert any("is called m0 too" in text for _, text in told(net, "member.namesake"))
+    ours, theirs = net.running["m0"].view, net.running["m11"].view
+    assert ours.me.name == theirs.me.name == "m0"
+    assert set(net.here(net.running["m0"])) == set(of(net, "a"))
+    assert set(net.here(net.running["m11"])) == {*of(net, "b"), "m0"} - {"m11"}
+    assert net.share <= ONE and not told(net, "member.dead") and not told(net, "member.gone")
+
+
+# --- zones not told, told wrongly, changed ----------------------------------------------------------------
+
+
+def unzoned(net: Net, name: str) -> None:
+    """It starts again, told of no zone."""
+    net.specs[""] = replace(net.specs["a"], zone="", zones=())
+    net.zone_of[name] = ""
+    net.start(name)
+
+
+def test_beside_a_member_that_is_told_of_no_zone_nobody_is_counted_out() -> None:
+    net = zoned({"a": 6, "b": 6})
+    unzoned(net, "m0")
+    net.run(net.now + 5 * SECOND)
+    assert all(p.view.holds for p in net.running.values())
+    for name in ("m1", "m2", "m7"):
+        net.kill(name)
+    net.run(net.now + 10 * SECOND)
+    # Nobody takes the room of those that ended; one more name is known than there are members.
+    assert all(p.told.now >= 12 for p in net.running.values())
+    net.kill("m0")
+    net.zone_of["m0"] = "a"
+    net.start("m0")
+    net.run(net.now + 15 * SECOND)
+    assert not any(p.view.holds for p in net.running.values())
+    assert net.share <= ONE and net.agreed()
+
+
+@pytest.mark.parametrize("cut", [False, True])
+def test_a_zone_that_is_changed_at_a_restart(cut: bool) -> None:
+    """Whoever was in its zone counts it out once it has spoken from the other; it takes a part there."""
+    net = zoned({"a": 6, "b": 6})
+    ways = net.part(["m0"], of(net, "a")[1:]) if cut else set()
+    net.zone_of["m0"] = "b"
+    net.start("m0")
+    net.run(net.now + 15 * SECOND)
+    assert net.share <= ONE
+    net.heal(ways)
+    net.run(net.now + 15 * SECOND)
+    assert net.agreed() and net.share <= ONE
+    assert all("m0" not in net.here(net.running[name]) for name in of(net, "a"))
+    assert net.running["m7"].told.now == size.wanted(6, 7, 0, 0, size.Fraction(1, 2))
+    net.zone_of["m0"] = "a"
+    net.start("m0")
+    net.run(net.now + 15 * SECOND)
+    assert net.agreed() and net.share <= ONE and "m0" in net.here(net.running["m1"])
+
+
+def test_another_table_of_zones_is_told_and_nobody_is_harmed() -> None:
+    net = zoned({"a": 6, "b": 6})
+    net.specs["a"] = replace(net.specs["a"], zones=(("a", 6), ("b", 6), ("c", 3)))
+    net.start("m0")
+    net.run(net.now + 15 * SECOND)
+    assert told(net, "zone.table") and net.agreed() and net.share <= ONE
+
+
+def test_a_late_datagram_of_a_former_life_in_another_zone_ends_nobody() -> None:
+    """Its clock was ahead then: the life that speaks seems to be the later one. That is no proof."""
+    net = zoned({"a": 4, "b": 4})
+    net.zone_of["m0"], net.skew["m0"] = "b", 3600 * SECOND
+    net.start("m0")
+    net.run(net.now + 5 * SECOND)
+    former = net.running["m0"].view
+    late = codec.encode(former._bridge(codec.BRIDGE, former._next(), "a"))
+    net.zone_of["m0"], net.skew["m0"] = "a", 0
+    net.start("m0")
+    net.run(net.now + 10 * SECOND)
+    assert net.agreed()
+    net.part(["m0"], of(net, "a")[1:])
+    for name in of(net, "a")[1:]:
+        net._arrive((name, 7000), late)
+    net.run(net.now + 10 * SECOND)
+    assert all(net.running[name].view.over == 0 for name in of(net, "a"))
+    assert net.share <= ONE
+
+
+# --- summaries --------------------------------------------------------------------------------------------
+
+
+def test_summaries_and_beats_that_are_doubled_late_or_of_a_former_life_change_nothing() -> None:
+    zones = Zones("a", (("a", 3), ("b", 4)), random.Random(1))
+    now = [Summary("b", 10, "m4", 4, 0, 0), Summary("b", 10, "m5", 3, 1, 0), Summary("b", 12, "m4", 2, 0, 2)]
+    assert all(zones.hear(summary) for summary in now)
+    for late in now:
+        assert not zones.hear(late)
+    assert zones.held["b"].summary == now[2]
+    assert not zones.hear(Summary("b", 3, "m6", 4, 0, 0))  # a former life's
+    assert not zones.hear(Summary("z", 99, "m6", 4, 0, 0))  # a zone that nobody knows of
+    other = Zones("b", (("a", 3), ("b", 4)), random.Random(1))
+    other.raise_beat(0, 100)
+    first = other.beats()
+    other.raise_beat(SECOND, 101)
+    assert zones.hear_beats(5, other.beats()) and zones.held["b"].beat == 101
+    assert zones.hear_beats(9, first)
+    assert (zones.held["b"].beat, zones.held["b"].beat_at) == (101, 5)
+
+
+def test_a_zone_whose_clocks_went_back_is_heard_all_the_same() -> None:
+    net = zoned({"a": 3, "b": 3})
+    for name in of(net, "a"):
+        net.kill(name)
+        net.skew[name] = -3600 * SECOND
+    net.run(net.now + 8 * SECOND)
+    assert all(silent(net, "a").values())
+    for name in of(net, "a"):
+        net.start(name)
+    assert net.until(lambda: not any(silent(net, "a").values()), 8 * SECOND) is not None
+    net.run(net.now + 10 * SECOND)
+    assert not any(silent(net, "a").values()) and net.agreed() and net.share <= ONE
+
+
+def test_loss_and_copies_put_no_old_summary_in_force() -> None:
+    net = zoned({"a": 8, "b": 8}, span=2 * SECOND)
+    net.loss, net.doubled = 0.3, 0.5
+    for name in of(net, "a")[:3]:
+        net.kill(name)
+    net.run(net.now + 15 * SECOND)
+    held = [net.running[name].view.zones.held["a"].summary for name in of(net, "b")]
+    assert {(s.here, s.silent, s.over) for s in held if s} == {(5, 0, 3)} and None not in held
+    assert net.share <= ONE
+
+
+# --- bytes ------------------------------------------------------------------------------------------------
+
+MOST = (1 << 63) - 1
+
+
+def _record(name: str = "us", zone: str = "a", number: int = 5, port: int = 7000) -> Record:
+    return Record(name, number, number, number, State.ALIVE, "127.0.0.1", port, "", zone)
+
+
+def _message(kind: int, number: int = 7) -> codec.Datagram:
+    return codec.Datagram(
+        1, "fleet", kind, number, _record(number=number), 1 << 63, _record("m1"), [_record("m2")],
+        [Cordon("s1", number, "us")], True, Info("1", "x", "z", True, number, number, number),
+        bytes(12), b"s\xff", [Summary("b", min(number, (1 << 32) - 1), "m9", number, number, number)],
+        [_record("m8", "b")],
+    )  # fmt: skip
+
+
+def _state(part: int, number: int = 7) -> codec.StateSync:
+    return codec.StateSync(
+        1, "fleet", _record(number=number), [_record("m2")], [Cordon("s1", number, "us")], None,
+        [(1 << 64) - 1] * codec.BUCKETS, (1 << 64) - 1, part, bytes(12),
+        [Summary("b", 1, "m9", number, number, number)], [_record("m8", "b")],
+    )  # fmt: skip
+
+
+KINDS = range(0, 9)
+PARTS = range(0, 5)
+
+
+def _view() -> View:
+    view = View(_record("me"), Spec(zone="a", zones=(("a", 3), ("b", 2)), configured=5), random.Random(1))
+    view.start(0)
+    return view
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_a_datagram_cut_at_any_byte_is_junk_and_its_body_cut_is_junk_or_taken(kind: int) -> None:
+    data = codec.encode(_message(kind))
+    view = _view()
+    for at in range(len(data)):
+        with pytest.raises(codec.Junk):
+            codec.decode(data[:at], "fleet")
+        # With a checksum that is right: what is left out at the end is at its default.
+        view.datagram(at, codec._sealed(data[codec.HEAD : at]))
+        view.asked(at, codec._sealed(b"D" + data[codec.HEAD : at]))
+    assert view.figures["junk"] > 0
+
+
+@pytest.mark.parametrize("part", PARTS)
+def test_a_state_sync_cut_at_any_byte_is_junk_or_taken(part: int) -> None:
+    data = codec.encode_stream(_state(part))[codec.LENGTH :]
+    view = _view()
+    for at in range(len(data)):
+        with pytest.raises(codec.Junk):
+            codec.decode_stream(data[:at], "fleet")
+        cut = codec._sealed(data[codec.HEAD : at])
+        view.asked(at, cut)
+        view.streams[at] = None
+        view.ended(at, at, "ok", cut)
+    assert view.figures["junk"] > 0
+
+
+@pytest.mark.parametrize("number", [-1, 0, MOST, MOST + 1, (1 << 64) - 1])
+@pytest.mark.parametrize("which", [*KINDS, *(f"part {n}" for n in PARTS)])
+def test_numbers_at_their_bounds_are_taken_or_junk(which: int | str, number: int) -> None:
+    """Each number of a message alone, and all of them together."""
+    whole = _message(which) if isinstance(which, int) else _state(int(which.split()[1]))
+    head = b"" if isinstance(which, int) else b"W"
+    plain = msgspec.msgpack.decode(msgspec.msgpack.encode(whole))
+
+    def places(node: Any, path: tuple[int, ...] = ()) -> list[tuple[int, ...]]:
+        if isinstance(node, list):
+            return [p for n, part in enumerate(node) for p in places(part, (*path, n))]
+        return [path] if isinstance(node, int) and not isinstance(node, bool) else []
+
+    def put(path: tuple[int, ...], doc: Any) -> Any:
+        node = doc
+        for step in path[:-1]:
+            node = node[step]
+        node[path[-1]] = number
+        return doc
+
+    found = places(plain)
+    found = [p for p in found if p[:1] != (6,) or head == b""]  # the 64 digests: one is enough
+    docs = [put(path, msgspec.msgpack.decode(msgspec.msgpack.encode(whole))) for path in found]
+    everything = msgspec.msgpack.decode(msgspec.msgpack.encode(whole))
+    for path in found:
+        put(path, everything)
+    for doc in [*docs, everything]:
+        view = _view()
+        data = codec._sealed(head + msgspec.msgpack.encode(doc))
+        if not head:
+            view.datagram(1, data)
+        view.asked(2, data if head else codec._sealed(b"D" + data[codec.HEAD :]))
+        view.streams[1] = None
+        view.ended(3, 1, "ok", data)
+        for at in range(1, 30):
+            view.wake(at * 100 * MS)
+        assert view.share_of() >= 1
+
+
+# --- who starts while others are silently dead ------------------------------------------------------------
+
+
+def _settled(net: Net, name: str) -> Callable[[], bool]:
+    process = net.running[name]
+    zone = net.zone_of[name]
+    dark = sum(net.zone_of[n] == zone for n in net.off)
+    part = size.Fraction(net.zones[zone], net.configured) if net.zones else size.Fraction(1)
+    owed = size.wanted(len(of(net, zone)), len(of(net, zone)), 0, dark, part)
+    return lambda: process.told.now <= owed
+
+
+@pytest.mark.parametrize(
+    ("zones", "dark"),
+    [({"a": 100, "b": 20}, 23), ({"a": 12, "b": 4}, 1), ({"": 12}, 1)],
+    ids=["23 of 100", "1 of 12", "1 of 12, flat"],
+)
+def test_who_starts_while_some_are_silently_dead_has_its_share_within_ten_seconds(
+    zones: dict[str, int], dark: int
+) -> None:
+    net = Net(sum(zones.values()), 1, zones=None if "" in zones else zones)
+    net.stand()
+    net.run(net.now + SECOND)
+    for name in net.names[10 : 10 + dark]:
+        net.off.add(name)
+        net.kill(name)
+    net.run(net.now + 20 * SECOND)
+    net.start("m1")
+    took = net.until(_settled(net, "m1"), 10 * SECOND)
+    assert took is not None and net.share <= ONE
+    print(f"its share after {took / SECOND:.2f} s: 1/{net.running['m1'].told.now}")
+
+
+def test_who_starts_while_another_zone_is_silently_dead_has_its_whole_share() -> None:
+    net = zoned({"a": 40, "b": 40})
+    for name in of(net, "b"):
+        net.off.add(name)
+        net.kill(name)
+    net.run(net.now + 15 * SECOND)
+    net.start("m1")
+    took = net.until(lambda: net.running["m1"].told.now <= 80, 10 * SECOND)
+    assert took is not None and net.share <= ONE
+    print(f"its whole share after {took / SECOND:.2f} s")
