--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -1111,7 +1111,7 @@
     def _reap(self) -> None:
         """Let go of members that have ended long ago, but never so many that fewer are known than configured:
         those who stay take their room only while it is known that they have ended."""
-        spare = self.known - self.spec.configured
+        spare = self.known - self.configured
         for name, r in list(self.records.items()):
             if spare <= 0:
                 return
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -234,6 +234,20 @@
     assert net.agreed() and net.share <= ONE and "m0" in net.here(net.running["m1"])
 
 
+def test_a_zone_lets_go_of_names_that_ended_beyond_its_own_size() -> None:
+    net = Net(12, 1, Spec(forget=5 * SECOND), zones={"a": 6, "b": 6})
+    net.stand()
+    net.zone_of["m0"] = "b"
+    net.start("m0")
+    net.run(net.now + 10 * SECOND)
+    assert {net.running[name].view.known for name in of(net, "b")} == {7}
+    net.kill("m0")
+    net.run(net.now + 20 * SECOND)
+    assert {net.running[name].view.known for name in of(net, "b") if name != "m0"} == {6}
+    assert {net.running[name].view.known for name in of(net, "a") if name != "m0"} == {6}
+    assert net.share <= ONE
+
+
 def test_another_table_of_zones_is_told_and_nobody_is_harmed() -> None:
     net = zoned({"a": 6, "b": 6})
     net.specs["a"] = replace(net.specs["a"], zones=(("a", 6), ("b", 6), ("c", 3)))
