--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -277,7 +277,11 @@
 
     def share_of(self, rule: Callable[..., int] = size.wanted) -> int:
         """The number that the module is told."""
-        numbers = self.configured, self.known, 0 if self.holds else self.over, self.strange
+        numbers = self.configured, self.known, self.over, self.strange
+        if self.holds:
+            # Others may go by another rule, or by other sizes: what a stranger costs there is not known here.
+            others = max(self.configured, self.known) - 1
+            numbers = self.configured, self.known, 0, others if self.strange else 0
         if self.spec.zone not in self.zones.held:
             return rule(*numbers)
         return rule(*numbers, Fraction(self.configured, max(self.spec.configured, self.zones.total)))
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 import random
 from collections.abc import Callable
 from dataclasses import replace
@@ -13,8 +14,8 @@
 from arrowseam.fleet import codec, size
 from arrowseam.fleet.codec import Summary
 from arrowseam.fleet.cordons import Cordon
-from arrowseam.fleet.records import Info, Record, State
-from arrowseam.fleet.view import Spec, View
+from arrowseam.fleet.records import ENDED, Info, Record, State
+from arrowseam.fleet.view import Effect, Send, Spec, Stream, View
 from arrowseam.fleet.zones import SPEAKERS, Zones, rank
 from arrowseam.lab.schedules import ZonePlayer, draw_zones
 from arrowseam.lab.virtual import MS, SECOND, Net
@@ -467,3 +468,169 @@
     took = net.until(lambda: net.running["m1"].told.now <= 80, 10 * SECOND)
     assert took is not None and net.share <= ONE
     print(f"its whole share after {took / SECOND:.2f} s")
+
+
+# --- beside the version before, and from it to zones ------------------------------------------------------
+
+
+class Former(View):
+    """The version before, as far as others can tell: its bytes, and its rule of shares."""
+
+    was_met = False
+
+    @staticmethod
+    def _old(data: bytes, stream: bool) -> bytes:
+        """The same message with the fields that it knows."""
+        skip = codec.LENGTH if stream else 0
+        body = data[skip + codec.HEAD :]
+        head, body = (body[:1], body[1:]) if stream else (b"", body)
+        doc = msgspec.msgpack.decode(body)
+        if head == b"W":
+            doc = doc[:6]
+            doc[2], doc[3] = doc[2][:8], [r[:8] for r in doc[3]]
+        else:
+            doc = doc[:11]
+            doc[4], doc[6], doc[7] = doc[4][:8], doc[6] and doc[6][:8], [r[:8] for r in doc[7]]
+            doc[2] = doc[2] if doc[2] <= codec.NACK else 99
+        sealed = codec._sealed(head + msgspec.msgpack.encode(doc))
+        return len(sealed).to_bytes(codec.LENGTH, "big") + sealed if stream else sealed
+
+    def _close(self) -> list[Effect]:
+        out: list[Effect] = []
+        for effect in super()._close():
+            if isinstance(effect, Send):
+                effect = replace(effect, data=self._old(effect.data, False))
+            elif isinstance(effect, Stream):
+                effect = replace(effect, data=self._old(effect.data, True))
+            out.append(effect)
+        return out
+
+    def datagram(self, now: int, data: bytes) -> list[Effect]:
+        return super().datagram(now, self._old(data, False))
+
+    def asked(self, now: int, data: bytes) -> tuple[list[Effect], bytes | None]:
+        effects, answer = super().asked(now, self._old(bytes(4) + data, True)[4:])
+        return effects, None if answer is None else self._old(answer, True)
+
+    def ended(self, now: int, token: int, how: str, data: bytes = b"") -> list[Effect]:
+        return super().ended(now, token, how, self._old(bytes(4) + data, True)[4:] if data else data)
+
+    def _exchange(self, to: tuple[str, int], who: Any = None) -> None:
+        self.exchanged_at = self.now
+        self._sync(to, self._whole(list(self.cordons.held.values())), who)
+
+    def _push(self) -> None:
+        self.push_armed = False
+
+    def share_of(self, rule: Callable[..., int] = size.wanted) -> int:
+        whole = max(self.spec.configured, self.known)
+        over = sum(r.state in ENDED for r in self.records.values())
+        if self.known >= self.spec.configured and not self.leaving:
+            there = (r for r in self.records.values() if r.state not in ENDED)
+            self.was_met = self.was_met or all(r.who in self.acked for r in there)
+        if not self.was_met or self.leaving:
+            return size.SLIVER * whole
+        return math.ceil((whole - over) / (1.0 - over / (size.SLIVER * whole)))
+
+    def _become(self, **fields: Any) -> None:
+        who = self.me.who
+        super()._become(**fields)
+        self.was_met = self.was_met and self.me.who == who
+
+
+def again(net: Net, name: str, kind: type[View], zone: str = "") -> None:
+    net.kind = kind
+    net.zone_of[name] = zone
+    net.start(name)
+
+
+@pytest.mark.parametrize("hold", [True, False])
+def test_old_and_new_versions_speak_together(hold: bool) -> None:
+    net = Net(12, 3, Spec(hold=hold), view=Former)
+    for name in net.names:
+        net.start(name)
+    assert net.until(net.agreed, 10 * SECOND) is not None
+    for n, name in enumerate(net.names[::2]):
+        again(net, name, View)
+        net.run(net.now + 2 * SECOND)
+        net.cordon(net.names[n], f"s{n}", True)
+        assert net.until(lambda n=n: everywhere(net, f"s{n}"), 6 * SECOND) is not None  # type: ignore[misc]
+    for name in ("m2", "m3"):
+        net.kill(name)
+    assert net.until(net.agreed, 10 * SECOND) is not None
+    net.part(net.names[:6], net.names[6:])
+    net.run(net.now + 15 * SECOND)
+    net.start("m9")
+    net.heal()
+    again(net, "m2", View)
+    again(net, "m3", Former)
+    assert net.until(net.agreed, 10 * SECOND) is not None
+    net.run(net.now + 10 * SECOND)
+    assert net.agreed() and net.share <= ONE
+    assert {p.told.now for p in net.running.values()} == {12}
+    assert all(p.view.figures["junk"] == 0 for p in net.running.values())
+
+
+def test_who_holds_is_safe_beside_an_old_one_that_counts_all_others_out() -> None:
+    """The old rule counts out more than seven tenths, which a stranger's price does not cover."""
+    net = Net(20, 1, Spec(hold=True), view=Former)
+    for name in net.names:
+        net.start(name)
+    assert net.until(net.agreed, 10 * SECOND) is not None
+    net.run(net.now + 5 * SECOND)
+    for name in net.names[1:]:
+        net.kill(name)
+    net.run(net.now + 10 * SECOND)
+    assert net.running["m0"].told.now == 2
+    net.part(["m0"], net.names[1:])
+    for name in net.names[1:]:
+        again(net, name, View)
+    net.run(net.now + 20 * SECOND)
+    assert net.share <= ONE
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_the_flat_fleet_of_today_is_brought_into_zones_in_steps(seed: int) -> None:
+    """Old program; the new one, holding; zones, holding; zones, counting: while members end and restart."""
+    net = Net(9, seed, Spec(forget=10 * SECOND), view=Former)
+    for name in net.names:
+        net.start(name)
+    assert net.until(net.agreed, 10 * SECOND) is not None
+    rnd = random.Random(seed)
+    table = (("a", 5), ("b", 4))
+    zone_of = {name: "a" if n < 5 else "b" for n, name in enumerate(net.names)}
+    flat = net.specs[""]
+    current: dict[str, tuple[type[View], str, str]] = dict.fromkeys(net.names, (Former, "", ""))
+
+    def step(name: str, kind: type[View], key: str, zone: str) -> None:
+        current[name] = kind, key, zone
+        net.kind, net.zone_of[name] = kind, zone
+        own, net.specs[zone] = net.specs.get(zone), net.specs[key] if key else flat
+        net.start(name)
+        if own is not None:
+            net.specs[zone] = own
+
+    for zone in "ab":
+        net.specs[f"hold {zone}"] = replace(flat, zone=zone, zones=table, hold=True)
+        net.specs[f"count {zone}"] = replace(flat, zone=zone, zones=table)
+    net.specs["hold"] = replace(flat, hold=True)
+    for stage in ("hold", "zones", "count"):
+        for name in rnd.sample(net.names, len(net.names)):
+            zone = "" if stage == "hold" else zone_of[name]
+            key = {"hold": "hold", "zones": f"hold {zone}", "count": f"count {zone}"}[stage]
+            step(name, View, key, zone)
+            net.run(net.now + rnd.choice((300, 1_000, 3_000)) * MS)
+            other = rnd.choice(net.names)
+            if other != name:
+                net.kill(other)
+                if rnd.random() < 0.4:
+                    net.part(rnd.sample(net.names, 4), net.names)
+                net.run(net.now + rnd.choice((500, 2_500)) * MS)
+                step(other, *current[other])
+                net.run(net.now + 500 * MS)
+                net.heal()
+        net.run(net.now + 10 * SECOND)
+    net.run(net.now + 20 * SECOND)  # members of other zones that were known while all was one are let go of
+    assert net.agreed() and net.share <= ONE
+    assert {p.told.now for p in net.running.values()} == {9}
+    assert not any(p.view.holds for p in net.running.values())
