--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -277,7 +277,11 @@
 
     def share_of(self, rule: Callable[..., int] = size.wanted) -> int:
         """The number that the module is told."""
-        numbers = self.configured, self.known, 0 if self.holds else self.over, self.strange
+        numbers = self.configured, self.known, self.over, self.strange
+        if self.holds:
+            # Others may go by another rule, or by other sizes: what a stranger costs there is not known here.
+            others = max(self.configured, self.known) - 1
+            numbers = self.configured, self.known, 0, others if self.strange else 0
         if self.spec.zone not in self.zones.held:
             return rule(*numbers)
         return rule(*numbers, Fraction(self.configured, max(self.spec.configured, self.zones.total)))
@@ -781,14 +785,7 @@
             record = None
         if how == "refused":
             if record is not None:
-                self.refused.add(record.who)
-                self._judge(record.name)
-            if record is not None and record.state < State.GONE:
-                self._set(record.as_(State.GONE, self.me.name))
-                if self.probe is not None and self.probe.target.who == who:
-                    # Found, and no fault of ours: on to the next at once, where many may have ended together.
-                    self.probe = None
-                    self._probe_in(NEXT)
+                self._proven(record)
             return
         if how != "ok":
             return
@@ -802,6 +799,9 @@
             self._state_answered(message)
             return
         if self._foreign(message.sender):
+            if record is not None and message.sender.name == record.name and message.sender.who != who:
+                # We knew of the life that was here before we asked at its address: it has ended.
+                self._proven(record)
             self._message(message)
             if not self.ring:
                 self._exchange(message.sender.address)  # it may know members of our zone
@@ -811,6 +811,17 @@
         if not was_here or message.digest != self.digest:
             self._exchange(message.sender.address)  # it was buried: its side has much to tell
 
+    def _proven(self, record: Record) -> None:
+        """Its address told us that this life has ended."""
+        self.refused.add(record.who)
+        self._judge(record.name)
+        if record.state < State.GONE:
+            self._set(record.as_(State.GONE, self.me.name))
+            if self.probe is not None and self.probe.target.who == record.who:
+                # Found, and no fault of ours: on to the next at once, where many may have ended together.
+                self.probe = None
+                self._probe_in(NEXT)
+
     # --- probing ------------------------------------------------------------------------------------------
 
     def _probe_in(self, span: int) -> None:
@@ -1104,7 +1115,7 @@
     def _reap(self) -> None:
         """Let go of members that have ended long ago, but never so many that fewer are known than configured:
         those who stay take their room only while it is known that they have ended."""
-        spare = self.known - self.spec.configured
+        spare = self.known - self.configured
         for name, r in list(self.records.items()):
             if spare <= 0:
                 return
@@ -1219,12 +1230,9 @@
     def _met_abroad(self, r: Record) -> None:
         """A member of another zone speaks to us itself."""
         held = self.records.get(r.name)
-        if held is not None and (r.life, r.nonce) > (held.life, held.nonce) and r.address == held.address:
-            # Its address is another life's now, in another zone: the one that was here has ended.
-            self.refused.add(held.who)
-            if held.state not in ENDED:
-                self._set(held.as_(State.GONE, self.me.name))
-            self._judge(r.name)
+        if held is not None and r.address == held.address and held.name not in self.counted_out:
+            # Its address may be another life's now; what came may be late, or its clock wrong: we look.
+            self._knock(held)
         if r.name == self.me.name and r.nonce not in self.namesakes:
             self.namesakes.add(r.nonce)
             self.figures["namesakes"] += 1
