--- a/arrowseam/cli/__init__.py
+++ b/arrowseam/cli/__init__.py
@@ -215,6 +215,20 @@
     sys.exit(lab.report(folder, out))
 
 
+@main.command("capacity")
+@click.option("--target", required=True, metavar="FILE", help="The size, TOML; deploy/ has an example.")
+@click.option("--runs", "folder", metavar="DIR", help="Recorded runs; else those of this source checkout.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object: rows and slopes.")
+@click.option("--write", "page", metavar="PAGE", help="Put the table between the markers of PAGE.")
+def capacity_command(target: str, folder: str | None, as_json: bool, page: str | None) -> None:
+    """Print what a fleet of any size costs, from recorded slopes. Exit status 2: a file isn't taken."""
+    from arrowseam.cli import capacity
+
+    if as_json and page is not None:
+        raise click.UsageError("--json or --write, not both")
+    sys.exit(capacity.show(target, folder, as_json, page))
+
+
 control_option = click.option(
     "--control", "addresses", envvar="EDGE_CONTROL", required=True, multiple=True,
     help="HOST:PORT of a proxy's control; the first that answers is asked.",
