--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -19,6 +19,7 @@
 import os
 import platform
 import random
+import signal
 import statistics
 import subprocess
 import sys
@@ -43,6 +44,7 @@
 from arrowseam.fleet import size as sizes  # noqa: E402
 from arrowseam.fleet.records import Info, Record, State  # noqa: E402
 from arrowseam.fleet.view import Send, Spec, Stream, View  # noqa: E402
+from arrowseam.lab.rig import CAPS, LANES, RULES, free_ports  # noqa: E402
 from arrowseam.lab.virtual import MS, PORT, SECOND, WALL, Net, Process  # noqa: E402
 
 SPAN = 60  # seconds that a mean is taken over
@@ -607,18 +609,9 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def _free_port() -> int:
-    import socket
-
-    with socket.create_server(("127.0.0.1", 0)) as sock:
-        return int(sock.getsockname()[1])
-
-
 def configuration(
     name: str, listen: int, control: int, discovery: str, rows: list[Any], sockets: int
 ) -> dict[str, Any]:
-    from arrowseam.lab.rig import CAPS, LANES, RULES
-
     return {
         "name": name,
         "listen": f"127.0.0.1:{listen}",
@@ -734,8 +727,8 @@
         if what == "open":
             fresh: dict[int, socket.socket] = {}
             failed, left = 0, int(rest[0])
-            while left or fresh:
-                while left and len(fresh) < 100:
+            while left > 0 or fresh:
+                while left > 0 and len(fresh) < 100:
                     sock = socket.socket()
                     sock.bind((host, 0))
                     sock.connect(("127.0.0.1", port))
@@ -792,6 +785,8 @@
     """One proxy with so many connections, its servers and its load in two processes each."""
     import tempfile
 
+    if connections < 40:
+        raise SystemExit("path: 40 connections at least")
     folder = Path(tempfile.mkdtemp(prefix="arrowseam-scale-"))
     children: list[Child] = []
     try:
@@ -800,7 +795,7 @@
         rows = [
             row(f"s{n}-{port}", f"127.0.1.{n + 1}:{port}") for n, s in enumerate(servers) for port in s.hear()
         ]
-        listen, control = _free_port(), _free_port()
+        listen, control = free_ports(2)
         config = folder / "config.json"
         _, (lists, _) = discovery_of(rows)
         doc = configuration("n0", listen, control, f"127.0.0.1:{lists}", rows, 19_900)
@@ -922,7 +917,7 @@
     rows += [row(f"server-{n:05d}", f"127.0.0.1:{idle}") for n in range(100)]
     children: list[Child] = []
     try:
-        ports = [_free_port() for _ in range(2 * proxies)]
+        ports = free_ports(2 * proxies)
         for n in range(proxies):
             config = folder / f"{n}.json"
             doc = configuration(f"n{n}", ports[2 * n], ports[2 * n + 1], f"127.0.0.1:{lists}", [], 1000)
@@ -959,7 +954,7 @@
     import tempfile
 
     folder = Path(tempfile.mkdtemp(prefix="arrowseam-scale-"))
-    listen, control, fleet = (_free_port() for _ in range(3))
+    listen, control, fleet = free_ports(3)
     rows = [row(f"server-{n:05d}", f"127.0.{n // 250 % 250}.{1 + n % 250}:7300") for n in range(servers)]
     config, star = folder / "config.json", folder / "operator.star"
     _, (lists, _) = discovery_of(rows)
@@ -1221,6 +1216,7 @@
     if given.load:
         load(given.load[0], int(given.load[1]), int(given.load[2]))
         return
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # children are ended then too
     only = tuple(given.only.split(","))
     chosen = {
         name: group
