--- a/arrowseam/fleet/differences.py
+++ b/arrowseam/fleet/differences.py
@@ -15,6 +15,7 @@
 from arrowseam.fleet.records import Record, mark
 
 FULL = b"f"  # all hold it
+TOLD_MOST = 2_048  # names of which bits are told: 256 bytes of a datagram
 SOME = b"s"  # followed by a bit a name, in the order of the names, the lowest bit first
 
 
@@ -103,4 +104,6 @@
     def told(self) -> bytes:
         if self.full:
             return FULL
+        if len(self.names) > TOLD_MOST:
+            return b""
         return SOME + self.bits.to_bytes((len(self.names) + 7) // 8, "little")
