--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -205,6 +205,7 @@
         self.pushed_at = -(1 << 62)
         self.push_room, self.sync_room, self.room_at = float(PUSH_BURST), float(SYNC_BURST), 0
         self.seeds: list[Address] = []  # not asked yet, at the start
+        self.abroad: set[Address] = set()  # seeds that a member of another zone spoke to us from
         self.wall = 0  # what the wall clock is ahead of ours, by our own life
         self.ring: list[str] = []  # whom to probe, in a random order, each once a round
         self.at = 0
@@ -1099,9 +1100,8 @@
         # Also who has left: it may have started again where all that it was told to begin with are gone.
         dead = [r for r in self.records.values() if not r.here]
         met = {r.address for r in self.records.values() if r.here} | {self.me.address}
-        met |= {r.address for zone in self.zones.others for r in zone.contacts.values()}
-        if self.zones.others and not self.ring and self.configured > 1:
-            met = {self.me.address}  # alone in our zone: whoever we were told of may know others of it
+        if self.ring or self.configured == 1:
+            met |= self.abroad  # who is alone in its zone asks these too: they may know others of it
         seeds = [seed for seed in self.spec.seeds if seed not in met]
         if not dead and not seeds:
             return
@@ -1248,6 +1248,8 @@
             )
         if r.here:
             self.zones.met(r, True)
+        if r.address in self.spec.seeds:
+            self.abroad.add(r.address)
 
     def _take_zones(self, beats: bytes, summaries: Iterable[Summary]) -> None:
         if not self.zones.hear_beats(self.now, beats):
