--- a/arrowseam/fleet/differences.py
+++ b/arrowseam/fleet/differences.py
@@ -28,6 +28,11 @@
         self.digests = [0] * BUCKETS
         self.places: dict[str, int] = {}
 
+    def copy(self) -> Buckets:
+        found = Buckets()
+        found.digests, found.places = list(self.digests), dict(self.places)
+        return found
+
     def place(self, name: str) -> int:
         found = self.places.get(name)
         if found is None:
--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -322,18 +322,30 @@
         self._next_seed()
         return self._close()
 
-    def stand(self, now: int, records: Iterable[Record]) -> list[Effect]:
-        """The same for a fleet that stands: these members are known, alive, and have answered."""
+    def stand(self, now: int, records: Iterable[Record], like: View | None = None) -> list[Effect]:
+        """The same for a fleet that stands: these members are known, alive, and have answered.
+
+        ``like`` is a view that stands beside ours and holds the same, us among it: sums are taken from there.
+        """
         self._begin(now)
         for r in records:
-            if r.name != self.me.name and not self._foreign(r):
-                self._set(r, tell=False)
-                self.acked.add(r.who)
-                self._judge(r.name)
-            else:
+            if r.name == self.me.name or self._foreign(r):
                 self.zones.met(r, False)
+            else:
+                self.records[r.name] = r
+                self.acked.add(r.who)
+        self.since = dict.fromkeys(self.records, now)
+        self.settled = set(self.records)
+        self.mixed = {name for name, r in self.records.items() if r.zone != self.me.zone}
+        self.ring = list(self.records)
+        self.rnd.shuffle(self.ring)
+        if like is not None:
+            self.members, self.buckets = like.members, like.buckets.copy()
+        else:
+            for r in self.records.values():
+                self.members ^= mark_of(r)
+                self.buckets.turn(r)
         self.changed_at = now - QUIET
-        self.out.clear()
         return self._close()
 
     def _begin(self, now: int) -> None:
@@ -891,9 +903,9 @@
 
     def _answered(self, r: Record) -> None:
         """It holds the life we live now: it does not count us out, and has our number for its own end."""
-        held = self.records.get(r.name)
-        if held is not None and held.who == r.who:
-            self.acked.add(r.who)
+        held, who = self.records.get(r.name), r.who
+        if held is not None and who not in self.acked and held.who == who:
+            self.acked.add(who)
             self._judge(r.name)
 
     def _nack(self, number: int) -> None:
--- a/arrowseam/lab/virtual.py
+++ b/arrowseam/lab/virtual.py
@@ -129,13 +129,16 @@
         by_zone: dict[str, list[Record]] = {}
         for name, record in records.items():
             by_zone.setdefault(self.zone_of[name], []).append(record)
+        first: dict[str, View] = {}
         for name, record in records.items():
             process = self._begin(name, record)
             others = [r for r in by_zone[self.zone_of[name]] if r is not record]
             for zone, there in by_zone.items():
                 if zone != self.zone_of[name]:
                     others += self.rnd.sample(there, min(CONTACTS, len(there)))
-            self._do(process, process.view.stand(self.now, others))
+            like = first.setdefault(self.zone_of[name], process.view)
+            found = process.view.stand(self.now, others, like if like is not process.view else None)
+            self._do(process, found)
 
     def kill(self, name: str) -> None:
         process = self.running.pop(name, None)
