--- a/arrowseam/lab/planted.py
+++ b/arrowseam/lab/planted.py
@@ -7,16 +7,18 @@
 
 import math
 from collections.abc import Callable, Iterable
+from fractions import Fraction
 from typing import Any
 
 import msgspec
 
 from arrowseam.fleet import size
-from arrowseam.fleet.codec import Datagram, StateSync
+from arrowseam.fleet.codec import PUSHED, Datagram, StateSync, Summary
 from arrowseam.fleet.cordons import Cordon
 from arrowseam.fleet.cordons import mark_of as cordon_mark
 from arrowseam.fleet.records import ENDED, Life, Record, State, mark_of
 from arrowseam.fleet.view import View
+from arrowseam.fleet.zones import Zone, Zones, rank
 
 
 class NoRefutation(View):
@@ -212,6 +214,153 @@
     return size.wanted(configured, known, over, strange if strange >= whole - 1 else 0)
 
 
+# --- zones ------------------------------------------------------------------------------------------------
+
+
+class PartLeftOut(View):
+    """Each zone takes the whole."""
+
+    def share_of(self, rule: Callable[..., int] = size.wanted) -> int:
+        return rule(self.configured, self.known, self.over, self.strange)
+
+
+class OtherZonesTakenIn(View):
+    """Members of other zones are members of ours."""
+
+    def _foreign(self, r: Record) -> bool:
+        return False
+
+
+class HoldersOfAnyDigest(View):
+    """Who holds the digest of whoever speaks is taken for holding ours."""
+
+    def _message(self, m: Datagram) -> Datagram | None:
+        reply = super()._message(m)
+        if m.holders and not self._foreign(m.sender):
+            self._held_by(m.sender, m.holders)
+        return reply
+
+
+class _LatestComes(Zones):
+    def hear(self, summary: Summary) -> bool:
+        zone = self.held.get(summary.zone)
+        if zone is None or zone.summary == summary:
+            return False
+        zone.summary = summary
+        return True
+
+
+class FormerSummaryHolds(View):
+    """The summary that comes last holds, whatever its beat."""
+
+    def __init__(self, *given: Any, **more: Any) -> None:
+        super().__init__(*given, **more)
+        self.zones = _LatestComes(self.spec.zone, self.spec.zones, self.rnd)
+
+
+class _AnyBeat(Zones):
+    def hear_beats(self, now: int, told: bytes) -> bool:
+        before = {zone.name: zone.beat for zone in self.held.values()}
+        for zone in self.held.values():
+            zone.beat = 0
+        known = super().hear_beats(now, told)
+        for zone in self.held.values():
+            zone.beat = zone.beat or before[zone.name]
+        return known
+
+
+class FormerBeatHolds(View):
+    """A beat that is no later than the one known is taken for news."""
+
+    def __init__(self, *given: Any, **more: Any) -> None:
+        super().__init__(*given, **more)
+        self.zones = _AnyBeat(self.spec.zone, self.spec.zones, self.rnd)
+
+
+class NoBridges(View):
+    """Nothing is told to another zone unless it asks."""
+
+    def _bridge_to(self, zone: Zone) -> None:
+        pass
+
+
+class NoPushes(View):
+    """News waits for the next probe."""
+
+    def _push(self) -> None:
+        self.push_armed = False
+
+
+class _OneSpeaks(Zones):
+    def speaks(self, me: str, ring: Iterable[str], ranks: dict[str, int]) -> bool:
+        return all(rank(name) > rank(me) for name in ring)
+
+
+class OneSpeaks(View):
+    """Only the first by rank speaks for its zone."""
+
+    def __init__(self, *given: Any, **more: Any) -> None:
+        super().__init__(*given, **more)
+        self.zones = _OneSpeaks(self.spec.zone, self.spec.zones, self.rnd)
+
+
+class NoHoldBesideUnzoned(View):
+    """Members are counted out though some are told of zones and some are not."""
+
+    @property
+    def holds(self) -> bool:
+        return self.spec.hold
+
+
+class HoldPaysByTheNewRule(View):
+    """Who holds pays a stranger's price as if all others went by our rule."""
+
+    def share_of(self, rule: Callable[..., int] = size.wanted) -> int:
+        if not self.holds or self.spec.zone in self.zones.held:
+            return super().share_of(rule)
+        return rule(self.configured, self.known, 0, self.strange)
+
+
+class NumbersOfAnyLife(View):
+    """A late answer to a former process counts for this one."""
+
+    def __init__(self, *given: Any, **more: Any) -> None:
+        super().__init__(*given, **more)
+        self.number = self.floor = 0
+
+
+class DifferencesNotPushed(View):
+    """What the other side of a state sync lacks is not sent to it."""
+
+    def _sync(self, to: tuple[str, int], state: StateSync, who: Life | None = None) -> None:
+        if state.part != PUSHED:
+            super()._sync(to, state, who)
+
+
+class SilentZoneIsGone(View):
+    """The part of a zone that is silent is shared out among the others."""
+
+    def share_of(self, rule: Callable[..., int] = size.wanted) -> int:
+        silent = sum(zone.size for zone in self.zones.others if zone.silent)
+        numbers = self.configured, self.known, self.over, self.strange
+        return rule(*numbers, Fraction(self.configured, max(1, self.zones.total - silent)))
+
+
+class LateWordFromAbroadIsProof(View):
+    """A later life of a member's name in another zone ends it, however late that word is."""
+
+    def _met_abroad(self, r: Record) -> None:
+        held = self.records.get(r.name)
+        if held is not None and (r.life, r.nonce) > (held.life, held.nonce) and r.address == held.address:
+            self._proven(held)
+        super()._met_abroad(r)
+
+
+ZONED: tuple[type[View], ...] = (
+    PartLeftOut, OtherZonesTakenIn, HoldersOfAnyDigest, FormerSummaryHolds, FormerBeatHolds, NoBridges,
+    NoPushes, OneSpeaks, NoHoldBesideUnzoned, HoldPaysByTheNewRule, NumbersOfAnyLife, DifferencesNotPushed,
+    SilentZoneIsGone, LateWordFromAbroadIsProof,
+)  # fmt: skip
 VIEWS: tuple[type[View], ...] = (
     NoRefutation, IncarnationNotRaised, DeadNeverRetried, SilentCountedOut, AlwaysMet, MetByFew,
     AckOfOtherLife, EndedIsNoStranger, HearsayCounts, ClockBackLocksOut, LateDuplicateBelieved,
