--- a/arrowseam/lab/virtual.py
+++ b/arrowseam/lab/virtual.py
@@ -21,6 +21,7 @@
 SILENT = 500 * MS  # a stream that brings nothing is given up after so long
 WALL = 1_700_000_000_000_000  # the wall clock when a run begins, microseconds
 PORT = 7000
+EXACT = 250  # members; in larger runs a number is reckoned anew where what it comes from has changed
 WHOLE = 1 << 100  # units of a budget: shares are summed in whole numbers, so that the sum never drifts
 
 
@@ -236,9 +237,10 @@
                 case Note():
                     self.notes.append((self.now, process.name, effect))
         view = process.view
-        # What the number comes from; to reckon it anew at each event takes a third of a run.
+        # What the number comes from; to reckon it anew at each event takes a third of a long run. In small ones
+        # it is asked for each time, as a proxy does: else a fault in it may not be seen.
         key = view.known, view.over, view.strange, view.holds, view.spec
-        if key != process.key:
+        if key != process.key or len(self.names) <= EXACT:
             process.key, process.number = key, view.share_of(self.wanted)
         number = process.number
         before = process.told.now
