--- a/arrowseam/lab/virtual.py
+++ b/arrowseam/lab/virtual.py
@@ -237,8 +237,8 @@
                 case Note():
                     self.notes.append((self.now, process.name, effect))
         view = process.view
-        # What the number comes from; to reckon it anew at each event takes a third of a long run. In small ones
-        # it is asked for each time, as a proxy does: else a fault in it may not be seen.
+        # What the number comes from; to reckon it anew at each event takes a third of a long run. In small
+        # ones it is asked for each time, as a proxy does: else a fault in it may not be seen.
         key = view.known, view.over, view.strange, view.holds, view.spec
         if key != process.key or len(self.names) <= EXACT:
             process.key, process.number = key, view.share_of(self.wanted)
