--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -762,6 +762,14 @@
     return all(p.told.now >= 12 for p in net.running.values())
 
 
+def _cut_apart(view: type[View]) -> bool:
+    """Neither of two zones that are cut takes the part of the other."""
+    net = zoned({"a": 6, "b": 6}, view=view)
+    net.part(of(net, "a"), of(net, "b"))
+    net.run(net.now + 12 * SECOND)
+    return all(silent(net, "a").values()) and net.share <= ONE
+
+
 def _beside_old(view: type[View]) -> bool:
     net = Net(20, 1, Spec(hold=True), view=Former)
     net.stand()
@@ -783,7 +791,8 @@
         (planted.LateWordFromAbroadIsProof, _late_word), (planted.HoldersOfAnyDigest, _holders),
         (planted.FormerSummaryHolds, _summaries), (planted.NumbersOfAnyLife, _numbers),
         (planted.DifferencesNotPushed, _pushed), (planted.OneSpeaks, _speaks), (planted.NoPushes, _pushes),
-        (planted.NoHoldBesideUnzoned, _unzoned), (planted.HoldPaysByTheNewRule, _beside_old),
+        (planted.SilentZoneIsGone, _cut_apart), (planted.NoHoldBesideUnzoned, _unzoned),
+        (planted.HoldPaysByTheNewRule, _beside_old),
     ],
 )  # fmt: skip
 def test_a_planted_fault_breaks_what_the_code_keeps(
