--- a/arrowseam/fleet/view.py
+++ b/arrowseam/fleet/view.py
@@ -1,8 +1,9 @@
 """One proxy's view of the fleet: SWIM's probing with Lifeguard's doubts, as a pure state machine.
 
-It owns who is believed to be there, how that is found out, refuted and passed on, and how halves that buried
-each other meet again. It is driven by events with the time in them and answers with effects; it must never do
-I/O, read a clock or draw a number of its own (``rnd`` is given).
+It owns who is believed to be there, how that is found out, refuted and passed on, how halves that buried
+each other meet again, what is counted out by evidence of our own, and what is said to members of other
+zones. It is driven by events with the time in them and answers with effects; it must never do I/O, read a
+clock or draw a number of its own (``rnd`` is given).
 
 A member is probed by a datagram, then through others and by a knock: a stream to its address. A stream that
 its machine refuses is proof that this process has ended; silence is only ever a suspicion, then a death that
@@ -688,7 +689,7 @@
         if state.sender.name == self.me.name and state.sender.nonce == self.me.nonce:
             return None
         self._take_state(state)
-        # None is needed by who pushed; the wire wants one.
+        # Who pushed needs no answer; the stream has one. Marked as pushed, it is not answered in turn.
         if state.part == PUSHED:
             return self._state(PUSHED, [], [])
         differ = state.cordon_digest != self.cordons.digest or not state.buckets
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -38,6 +38,7 @@
 sys.path.insert(0, str(ROOT))
 
 from arrowseam.capacity import runs  # noqa: E402
+from arrowseam.capacity.table import CONTROL, LAB, OPS, OUTSIDE, PATH, SHARD, VOTER  # noqa: E402
 from arrowseam.fleet import size as sizes  # noqa: E402
 from arrowseam.fleet.records import Info, Record, State  # noqa: E402
 from arrowseam.fleet.view import Send, Spec, Stream, View  # noqa: E402
@@ -1005,14 +1006,6 @@
     jobs: int = 8  # side by side
 
 
-CONTROL, PATH, VOTER, OPS, LAB = (
-    "proxy, control",
-    "proxy, data path",
-    "control machines",
-    "operators",
-    "laboratory",
-)
-OUTSIDE, SHARD = "discovery and servers", "shards"
 SMALL, LARGE = (4, 13, 40, 130, 400), (10, 30, 100, 300, 1000)
 MEMBERS = "members of a zone"
 PROBE = "a member probes one and is probed by one a period"
