--- a/tests/test_discovery_endings.py
+++ b/tests/test_discovery_failures.py
@@ -14,7 +14,7 @@
 import h11
 import pytest
 from network import SETTINGS, World, create_worlds, free_port
-from test_endings import Raw
+from test_termination_races import Raw
 
 from arrowseam.net.clock import SECOND, clock
 from arrowseam.net.connection import Connection
