--- a/arrowseam/lab/planted_agree.py
+++ b/arrowseam/lab/planted_agree.py
@@ -241,11 +241,11 @@
 class LaterLifeUsesPermit(PermitHolder):
     """A life that has started since goes out once more."""
 
-    def _begin(self, permit_id: int) -> None:
+    def _handle_permit(self, permit_id: int) -> None:
         permit = self.replicated.state.permits[permit_id]
         started_at, self.started_at = self.started_at, permit.started_at
         try:
-            super()._begin(permit_id)
+            super()._handle_permit(permit_id)
         finally:
             self.started_at = started_at
 
--- a/arrowseam/rollouts/permit_holder.py
+++ b/arrowseam/rollouts/permit_holder.py
@@ -56,7 +56,7 @@
             permit = self.replicated.permit_of(ResourceKind.PROXY, self.name)
             if permit is not None:
                 if permit.id not in self._begun:
-                    self._begin(permit.id)
+                    self._handle_permit(permit.id)
             elif self.replicated.state.desired_digests.get(self.name, self.digest) != self.digest:
                 self._restore_bundle()
         effects, self._effects = self._effects, []
@@ -85,7 +85,7 @@
         self.unused = [n for n in self.unused if n in permits]
         self.failed = {n: why for n, why in self.failed.items() if n in permits}
 
-    def _begin(self, permit_id: int) -> None:
+    def _handle_permit(self, permit_id: int) -> None:
         """Handle a permit of ours that we have not used yet.
 
         One for a later process is left to that process. If this process is later than the permit, or runs
