--- a/arrowseam/lab/planted_agree.py
+++ b/arrowseam/lab/planted_agree.py
@@ -234,7 +234,7 @@
 
 class UsesPermitsTwice(PermitHolder):
     def reconcile(self) -> list[Effect]:
-        self._begun.clear()
+        self._handled_permits.clear()
         return super().reconcile()
 
 
--- a/arrowseam/rollouts/permit_holder.py
+++ b/arrowseam/rollouts/permit_holder.py
@@ -34,7 +34,7 @@
         self.failed_bundles: set[str] = set()  # could not be taken over by this process
         self.executing: int | None = None  # the permit under way; 0: a bundle is restored
         self.report_due = False
-        self._begun: set[int] = set()  # permits that were used, or given back unused
+        self._handled_permits: set[int] = set()  # permits that were used, or given back unused
         self._bundle_checks: dict[str, str] = {}  # digest -> empty, why not, or unknown yet
         self._effects: list[Effect] = []
 
@@ -55,7 +55,7 @@
         if self.executing is None:
             permit = self.replicated.permit_of(ResourceKind.PROXY, self.name)
             if permit is not None:
-                if permit.id not in self._begun:
+                if permit.id not in self._handled_permits:
                     self._handle_permit(permit.id)
             elif self.replicated.state.desired_digests.get(self.name, self.digest) != self.digest:
                 self._restore_bundle()
@@ -80,7 +80,7 @@
 
     def _forget_ended_permits(self) -> None:
         permits = self.replicated.state.permits
-        self._begun &= permits.keys()
+        self._handled_permits &= permits.keys()
         self.completed = [n for n in self.completed if n in permits]
         self.unused = [n for n in self.unused if n in permits]
         self.failed = {n: why for n, why in self.failed.items() if n in permits}
@@ -102,11 +102,11 @@
             if not has_bundle:
                 self._restore_bundle()
             elif self.serving:
-                self._begun.add(permit_id)
+                self._handled_permits.add(permit_id)
                 self.completed.append(permit_id)
                 self.report_due = True
             return
-        self._begun.add(permit_id)
+        self._handled_permits.add(permit_id)
         if not release.is_active or self.is_halted(release):
             self.unused.append(permit_id)
             self.report_due = True
@@ -136,7 +136,7 @@
             # 0: a later process than the permit's took its bundle over.
             if permit is not None and permit_id in (0, permit.id):
                 self.failed[permit.id] = failure
-                self._begun.add(permit.id)
+                self._handled_permits.add(permit.id)
         elif permit_id:
             self.completed.append(permit_id)
 
