--- a/arrowseam/lab/agreed.py
+++ b/arrowseam/lab/agreed.py
@@ -52,7 +52,7 @@
 from arrowseam.rollouts.observed import ClusterState, ObservedEndpoint, ObservedProxy
 from arrowseam.rollouts.release_plan import plan_waves
 from arrowseam.rollouts.replicated_state import ReplicatedState
-from arrowseam.rollouts.state import ACTIVE, ReleaseState
+from arrowseam.rollouts.state import ACTIVE_STATES, ReleaseState
 
 MS, SECOND = 1_000, 1_000_000
 WALL_MS = 1_700_000_000_000
@@ -884,7 +884,7 @@
         if permit.kind == ResourceKind.PROXY or not permit.drained:
             return f"permit of {permit.resource.name}: {why}"
     release = replicated.current_release
-    if release is not None and release.state in ACTIVE:
+    if release is not None and release.state in ACTIVE_STATES:
         return f"release {release.id} is {release.state}: {why}"
     if replicated.state.drain_requests and not any(
         p.kind == ResourceKind.ENDPOINT for p in replicated.state.permits.values()
--- a/arrowseam/rollouts/state.py
+++ b/arrowseam/rollouts/state.py
@@ -35,7 +35,7 @@
     CANCELLED = "cancelled"
 
 
-ACTIVE = (ReleaseState.RUNNING, ReleaseState.ROLLING_BACK)  # permits are granted
+ACTIVE_STATES = (ReleaseState.RUNNING, ReleaseState.ROLLING_BACK)  # permits are granted
 OVER = (ReleaseState.DONE, ReleaseState.ROLLED_BACK, ReleaseState.CANCELLED)
 
 
@@ -83,7 +83,7 @@
     @property
     def is_active(self) -> bool:
         """Whether permits are granted in it."""
-        return self.state in ACTIVE
+        return self.state in ACTIVE_STATES
 
     def digest_for(self, name: str) -> str:
         """Of the bundle that a proxy is to run with, on the way that the release is on."""
