--- a/arrowseam/endpoint_sources/file_sources.py
+++ b/arrowseam/endpoint_sources/file_sources.py
@@ -113,7 +113,7 @@
     def close(self) -> None:
         """Stop reading and watching."""
         if self.worker is not None:
-            self.worker.finish()  # it may still have a snapshot to write
+            self.worker.disconnect()  # it may still have a snapshot to write
             self.worker = None
         if self.watcher is not None:
             self.watcher.close()
--- a/arrowseam/rollouts/storage_worker.py
+++ b/arrowseam/rollouts/storage_worker.py
@@ -81,4 +81,4 @@
     def close(self) -> None:
         """Store nothing more; the worker ends once it has done what it was asked."""
         self._closed = True
-        self._worker.finish()
+        self._worker.disconnect()
--- a/arrowseam/workers/process.py
+++ b/arrowseam/workers/process.py
@@ -90,7 +90,7 @@
         """Whether it has ended, as far as is known; lines that it wrote before may still be unread."""
         return self.conn.peer_closed
 
-    def finish(self) -> None:
+    def disconnect(self) -> None:
         """Ask nothing more; it ends by itself once it is done with what it was asked."""
         self.conn.close()
 
