--- a/arrowseam/endpoint_sources/file_sources.py
+++ b/arrowseam/endpoint_sources/file_sources.py
@@ -143,7 +143,7 @@
         """Read the files that are due, one at a time: one whose read hangs delays the others."""
         while True:
             if self.worker is not None and self.worker.has_ended:
-                self.worker.close()
+                self.worker.kill()
                 self._on_worker_lost("has ended")
             due = min(self._next_read_at.values(), default=None)
             if due is None or clock() < max(due, self._paused_until):
--- a/arrowseam/rollouts/storage_worker.py
+++ b/arrowseam/rollouts/storage_worker.py
@@ -43,7 +43,7 @@
         yield from self._worker.send_line(b"{}\n", clock() + ANSWER_TIMEOUT)
         answer = json.loads((yield from self._worker.receive_line(clock() + LOCK_TIMEOUT)))
         if "unfit" in answer:
-            self._worker.close()
+            self._worker.kill()
             raise StateRefusedError(answer["unfit"])
         return _checkpoint_decoder.decode(base64.b64decode(answer["whole"])) if answer["whole"] else None
 
--- a/arrowseam/workers/process.py
+++ b/arrowseam/workers/process.py
@@ -82,7 +82,7 @@
 
     def _fail(self, why: str) -> None:
         code = self.process.poll()
-        self.close()
+        self.kill()
         raise WorkerEndedError(why if code is None else f"has ended with {code}")
 
     @property
@@ -94,7 +94,7 @@
         """Ask nothing more; it ends by itself once it is done with what it was asked."""
         self.conn.close()
 
-    def close(self) -> None:
+    def kill(self) -> None:
         """Kill it. The exit status is collected when the next one is started."""
         self.conn.close()
         if self.process.poll() is None:
--- a/arrowseam/workers/script.py
+++ b/arrowseam/workers/script.py
@@ -85,4 +85,4 @@
     except WorkerEndedError as error:
         raise _evaluation_ended(path, str(error)) from None
     finally:
-        worker.close()
+        worker.kill()
