--- a/arrowseam/hot_restart/hot_restart.py
+++ b/arrowseam/hot_restart/hot_restart.py
@@ -58,7 +58,7 @@
     def on_other_process_ended(self) -> None:
         """The other process uses no connection ids any more."""
 
-    def retire(self) -> None:
+    def hand_over_and_drain(self) -> None:
         """The new process serves: hand over the established connections and drain."""
 
     def accept_connection(
@@ -196,7 +196,7 @@
             self.listener = None
         if self.channel is not None:
             self.channel.send(ListenersReleased())
-        self.handler.retire()
+        self.handler.hand_over_and_drain()
 
     def _accept_connection(self, state: dict[str, Any], connection: DescriptorConnection) -> None:
         if len(connection.descriptors) < DESCRIPTORS_OF_A_CONNECTION:
--- a/arrowseam/proxy/hot_restart.py
+++ b/arrowseam/proxy/hot_restart.py
@@ -98,7 +98,7 @@
         """No connection id is in use elsewhere any more."""
         self.proxy.edge_server.other_process_ids.clear()
 
-    def retire(self) -> None:
+    def hand_over_and_drain(self) -> None:
         """The new process serves: hand over the established connections and drain."""
         handler = self.proxy.request_handler
         log(
