--- a/arrowseam/hot_restart/offer.py
+++ b/arrowseam/hot_restart/offer.py
@@ -44,7 +44,7 @@
         self.taken_names.append(name)
         return self.sockets.pop(name)
 
-    def close_untaken(self) -> None:
+    def close_unused_sockets(self) -> None:
         """Close our copies of the sockets that were not taken."""
         for sock in self.sockets.values():
             sock.close()
--- a/arrowseam/proxy/hot_restart.py
+++ b/arrowseam/proxy/hot_restart.py
@@ -43,7 +43,7 @@
         for endpoint, uncordoned_at in offer.state.uncordoned_at.items():
             self.on_cordon_change(endpoint, False, uncordoned_at)
         self.proxy.edge_server.other_process_ids.update(offer.state.connection_ids)
-        offer.close_untaken()
+        offer.close_unused_sockets()
         self.hot_restart.take_over(offer)
         self.proxy.discovery.request_update(complete=False)
 
