--- a/arrowseam/rollouts/storage_worker.py
+++ b/arrowseam/rollouts/storage_worker.py
@@ -43,7 +43,7 @@
         yield from self._worker.send_line(b"{}\n", clock() + ANSWER_TIMEOUT)
         answer = json.loads((yield from self._worker.receive_line(clock() + LOCK_TIMEOUT)))
         if "unfit" in answer:
-            self._worker.close()
+            self._worker.kill()
             raise StateRefusedError(answer["unfit"])
         return _checkpoint_decoder.decode(base64.b64decode(answer["whole"])) if answer["whole"] else None
 
@@ -81,4 +81,4 @@
     def close(self) -> None:
         """Store nothing more; the worker ends once it has done what it was asked."""
         self._closed = True
-        self._worker.finish()
+        self._worker.disconnect()
