--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -118,7 +118,7 @@
 class _KnownOnlyEvidence(EvidenceTracker):
     @property
     def unconfirmed_count(self) -> int:
-        return self.members.known_count - 1 - len(self.settled)
+        return self.members.known_count - 1 - len(self.confirmed)
 
 
 class OnlyKnownAreUnconfirmed(PlantedView):
@@ -131,7 +131,7 @@
     @property
     def unconfirmed_count(self) -> int:
         records = self.members.records.items()
-        ended = sum(r.state in ENDED_STATES and n not in self.settled for n, r in records)
+        ended = sum(r.state in ENDED_STATES and n not in self.confirmed for n, r in records)
         return super().unconfirmed_count - ended
 
 
--- a/arrowseam/membership/evidence.py
+++ b/arrowseam/membership/evidence.py
@@ -27,9 +27,9 @@
         self.holders = DigestHolders(view.members.me.name)
         self.acked: set[ProcessId] = set()
         self.refused: set[ProcessId] = set()
-        self.settled: set[str] = set()  # names that can't count out our present process
+        self.confirmed: set[str] = set()  # names that can't count out our present process
         self.counted_out: set[str] = set()
-        self.complete = False  # all configured members are known and settled; stays until our next process
+        self.complete = False  # all configured members are known and confirmed; stays until our next process
 
     # --- evidence ---
 
@@ -42,17 +42,17 @@
     def judge(self, name: str) -> None:
         """Decide anew whether a name is counted out, and whether it may have counted us out.
 
-        A name stays settled for our present process: a later process under that name has not met our former
+        A name stays confirmed for our present process: a later process under that name has not met our former
         one, so it cannot count that one out.
         """
         record = self.members.records.get(name)
         if record is None:
             self.counted_out.discard(name)
-            self.settled.discard(name)
+            self.confirmed.discard(name)
             return
         evidence = self.has_evidence(record)
         if evidence:
-            self.settled.add(name)
+            self.confirmed.add(name)
         if evidence and record.state in ENDED_STATES:
             self.counted_out.add(name)
         else:
@@ -97,14 +97,14 @@
         """Drop all evidence: our own process has another start time or name, which nobody has answered."""
         self.acked.clear()
         self.refused.clear()
-        self.settled.clear()
+        self.confirmed.clear()
         self.counted_out.clear()
         self.complete = False
 
     def update_complete(self) -> None:
-        """Look whether all configured members are known and settled."""
+        """Look whether all configured members are known and confirmed."""
         if not self.complete and not self.context.leaving and self.members.known_count >= self.configured:
-            self.complete = all(name in self.settled for name in self.members.ring.names)
+            self.complete = all(name in self.confirmed for name in self.members.ring.names)
 
     # --- share ---
 
@@ -117,7 +117,7 @@
     def unconfirmed_count(self) -> int:
         """Names that may have counted us out, with those that are configured and unknown."""
         others = max(self.configured, self.members.known_count) - 1
-        return others if self.context.leaving else others - len(self.settled)
+        return others if self.context.leaving else others - len(self.confirmed)
 
     @property
     def configured(self) -> int:
--- a/arrowseam/membership/failure_detector.py
+++ b/arrowseam/membership/failure_detector.py
@@ -106,10 +106,10 @@
         evidence, rnd = self.view.evidence, self.context.random
         if evidence.complete:
             return
-        unsettled = [name for name in self.members.ring.names if name not in evidence.settled]
+        unconfirmed = [name for name in self.members.ring.names if name not in evidence.confirmed]
         limit = GREETED_LATER if self.greeted else GREETED_FIRST
-        self.greeted = self.greeted or bool(unsettled)
-        for name in rnd.sample(unsettled, min(limit, len(unsettled))):
+        self.greeted = self.greeted or bool(unconfirmed)
+        for name in rnd.sample(unconfirmed, min(limit, len(unconfirmed))):
             # Without gossip: its choice would hold the loop up in a cluster of hundreds.
             self.view.dissemination.ping(self.members.records[name], with_gossip=False)
 
--- a/arrowseam/membership/view.py
+++ b/arrowseam/membership/view.py
@@ -131,7 +131,7 @@
                 own_zone.append(record)
                 evidence.acked.add(record.process_id)
         members.load(own_zone, now, like.members if like is not None else None)
-        evidence.settled = set(members.records)
+        evidence.confirmed = set(members.records)
         members.ring.fill(list(members.records), self.context.random)
         self.context.changed_at = now - QUIET_TIME
         return self._end_event()
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -777,7 +777,7 @@
         _message(codec.MessageKind.PUSH), sender=_record("m1"), holders=b"f", updates=[]
     )
     ours.on_datagram(1, codec.encode_datagram(said))
-    return not ours.evidence.settled
+    return not ours.evidence.confirmed
 
 
 def _summaries(view: type[ClusterView]) -> bool:
@@ -801,7 +801,7 @@
     ours.dissemination.ping(ours.records["m1"])
     late = codec.Datagram(1, "fleet", codec.MessageKind.ACK, number, _record("m1", ""), 0)
     ours.on_datagram(1, codec.encode_datagram(late))
-    return not ours.evidence.settled
+    return not ours.evidence.confirmed
 
 
 def _pushed(view: type[ClusterView]) -> bool:
