--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -35,7 +35,7 @@
 from arrowseam.membership.streams import StreamTable
 from arrowseam.membership.suspicion import SuspicionTracker
 from arrowseam.membership.view import ClusterView
-from arrowseam.membership.zones import Zone, ZoneTable, rank
+from arrowseam.membership.zones import Zone, ZoneTable, speaker_rank
 from arrowseam.outcomes import StreamOutcome
 
 
@@ -419,7 +419,7 @@
 
 class _OneSpeaker(ZoneTable):
     def is_speaker(self, own_name: str, others: Iterable[str], ranks: dict[str, int]) -> bool:
-        return all(ranks.setdefault(name, rank(name)) > rank(own_name) for name in others)
+        return all(ranks.setdefault(name, speaker_rank(name)) > speaker_rank(own_name) for name in others)
 
 
 class OneSpeaker(PlantedView):
--- a/arrowseam/lab/zone_schedule_player.py
+++ b/arrowseam/lab/zone_schedule_player.py
@@ -15,7 +15,7 @@
 from arrowseam.membership.proxy_share import proxy_count
 from arrowseam.membership.settings import MembershipSettings
 from arrowseam.membership.view import ClusterView
-from arrowseam.membership.zones import SPEAKER_COUNT, rank
+from arrowseam.membership.zones import SPEAKER_COUNT, speaker_rank
 
 # A zone that is lost or cut for so long is held silent, and the reverse: 6 s after its last heartbeat, which
 # is gossiped for up to 2.5 s, arrived.
@@ -46,7 +46,7 @@
 
     def _step(self, step: Step) -> None:
         net, who = self.net, step.who
-        running = sorted((n for n in who if n in net.running), key=rank)
+        running = sorted((n for n in who if n in net.running), key=speaker_rank)
         match step.what:
             case ZoneFault.KILL_ZONE | ZoneFault.KILL_SPEAKERS:
                 self._kill_all(running if step.what == ZoneFault.KILL_ZONE else running[:SPEAKER_COUNT])
--- a/arrowseam/membership/zones.py
+++ b/arrowseam/membership/zones.py
@@ -26,7 +26,7 @@
 AGE_MAX = 255
 
 
-def rank(name: str) -> int:
+def speaker_rank(name: str) -> int:
     """Return a number drawn by the name, so that the speakers of a zone are any of its members."""
     return fingerprint("speaks", name)
 
@@ -129,11 +129,11 @@
 
     def is_speaker(self, own_name: str, others: Iterable[str], ranks: dict[str, int]) -> bool:
         """Return whether we are among the first active members by rank; ``ranks`` caches those of others."""
-        own_rank, before = rank(own_name), 0
+        own_rank, before = speaker_rank(own_name), 0
         for name in others:
             found = ranks.get(name)
             if found is None:
-                found = ranks[name] = rank(name)
+                found = ranks[name] = speaker_rank(name)
             before += found < own_rank
             if before >= SPEAKER_COUNT:
                 return False
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -27,7 +27,7 @@
 from arrowseam.membership.settings import MembershipSettings
 from arrowseam.membership.state_sync import StateSynchronizer
 from arrowseam.membership.view import ClusterView
-from arrowseam.membership.zones import SPEAKER_COUNT, ZoneTable, rank
+from arrowseam.membership.zones import SPEAKER_COUNT, ZoneTable, speaker_rank
 from arrowseam.outcomes import StreamOutcome
 
 ONE = 1 + 1e-9
@@ -46,7 +46,7 @@
 
 
 def speakers(net: SimulatedCluster, zone: str) -> list[str]:
-    return sorted(of(net, zone), key=rank)[:SPEAKER_COUNT]
+    return sorted(of(net, zone), key=speaker_rank)[:SPEAKER_COUNT]
 
 
 def logged(net: SimulatedCluster, event: str) -> list[tuple[str, str]]:
