--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -197,8 +197,8 @@
 
 
 class _CordonlessSync(StateSynchronizer):
-    def take_in(self, state: StateSync) -> None:
-        super().take_in(msgspec.structs.replace(state, cordons=[]))
+    def merge(self, state: StateSync) -> None:
+        super().merge(msgspec.structs.replace(state, cordons=[]))
 
 
 class CordonsNotSynchronised(PlantedView):
--- a/arrowseam/membership/state_sync.py
+++ b/arrowseam/membership/state_sync.py
@@ -122,7 +122,7 @@
         """Take in what a member asks with or pushes; return the answer."""
         if self.members.is_self(state.sender):
             return None
-        self.take_in(state)
+        self.merge(state)
         if state.part == SyncPart.PUSH:
             # The stream needs a frame; marked as a push, it is not answered in turn.
             return self._compose(SyncPart.PUSH, [], [])
@@ -176,7 +176,7 @@
         lacking_cordons = self._lacking_cordons(state) if compares else []
         ring = self.members.ring
         was_alone = not ring.names
-        self.take_in(state)
+        self.merge(state)
         if (lacking or lacking_cordons) and self._may_sync():
             self.send(state.sender.address, self._compose(SyncPart.PUSH, lacking, lacking_cordons))
         if ring.names and (state.part == SyncPart.REDIRECT or (is_foreign and was_alone)):
@@ -198,7 +198,7 @@
 
     # --- both ---
 
-    def take_in(self, state: StateSync) -> None:
+    def merge(self, state: StateSync) -> None:
         """Take in what a state synchronisation tells; its records are merged in batches."""
         if self.members.is_foreign(state.sender):
             self.view.bridges.on_foreign_sender(state.sender)
