--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -27,7 +27,7 @@
 from arrowseam.membership.settings import MembershipSettings
 from arrowseam.membership.state_sync import StateSynchronizer
 from arrowseam.membership.view import ClusterView
-from arrowseam.membership.zones import SPEAKER_COUNT, ZoneTable, rank
+from arrowseam.membership.zones import SPEAKER_COUNT, ZoneTable, speaker_rank
 from arrowseam.outcomes import StreamOutcome
 
 ONE = 1 + 1e-9
@@ -46,7 +46,7 @@
 
 
 def speakers(net: SimulatedCluster, zone: str) -> list[str]:
-    return sorted(of(net, zone), key=rank)[:SPEAKER_COUNT]
+    return sorted(of(net, zone), key=speaker_rank)[:SPEAKER_COUNT]
 
 
 def logged(net: SimulatedCluster, event: str) -> list[tuple[str, str]]:
@@ -777,7 +777,7 @@
         _message(codec.MessageKind.PUSH), sender=_record("m1"), holders=b"f", updates=[]
     )
     ours.on_datagram(1, codec.encode_datagram(said))
-    return not ours.evidence.settled
+    return not ours.evidence.confirmed
 
 
 def _summaries(view: type[ClusterView]) -> bool:
@@ -801,7 +801,7 @@
     ours.dissemination.ping(ours.records["m1"])
     late = codec.Datagram(1, "fleet", codec.MessageKind.ACK, number, _record("m1", ""), 0)
     ours.on_datagram(1, codec.encode_datagram(late))
-    return not ours.evidence.settled
+    return not ours.evidence.confirmed
 
 
 def _pushed(view: type[ClusterView]) -> bool:
