--- a/arrowseam/rollouts/__init__.py
+++ b/arrowseam/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Drains and releases within disruption budgets, by consensus; ``docs/design/agreed-releases.md``."""
+"""Drains and releases within disruption budgets, agreed through Raft; ``docs/design/agreed-releases.md``."""
--- a/arrowseam/rollouts/agent.py
+++ b/arrowseam/rollouts/agent.py
@@ -1,9 +1,9 @@
-"""One proxy's part in rollouts: voter or not, leader or not, holder of permits.
+"""The rollout agent of one proxy: voter or not, leader or not, and holder of permits.
 
-An agent is a state machine without I/O and clock: its runtime reports events with the time in them and
-carries out the effects that each returns. Serving traffic never waits for any of it.
+An agent is a state machine without I/O or a clock: its runtime reports events together with the current time
+and carries out the effects that each event returns. Serving traffic never waits for it.
 
-Times are microseconds of a monotonic clock, except ``wall_ms``, which is Unix time in milliseconds.
+Times are in microseconds of a monotonic clock, except ``wall_ms``, which is Unix time in milliseconds.
 """
 
 from __future__ import annotations
@@ -50,27 +50,27 @@
 from arrowseam.rollouts.status_board import StatusBoard
 
 MS, SECOND = 1_000, 1_000_000
-LOG_ENTRIES_MAX = 512  # before a snapshot stands for them
-LOG_BYTES_MAX = 256 << 10  # and bytes of them: a checkpoint is one line to the worker that stores it
-CATCH_UP_ENTRIES_MAX = 64  # in one message
+LOG_ENTRIES_MAX = 512  # committed entries; with more the log is compacted into a snapshot
+LOG_BYTES_MAX = 256 << 10  # likewise; a checkpoint is sent as one line to the worker that stores it
+CATCH_UP_ENTRIES_MAX = 64  # per message
 
 
 @dataclass(frozen=True)
 class AgentSettings:
-    """What the operators set; spans in microseconds."""
+    """Settings from the operator file, and intervals in microseconds."""
 
     fleet: str = "fleet"
     voters: tuple[str, ...] = ()
     budgets: DisruptionBudgets = field(default_factory=DisruptionBudgets)
     heartbeat_interval: int = 100 * MS
-    election_timeout: int = 500 * MS  # at least; at most twice that, by lot
+    election_timeout: int = 500 * MS  # the minimum; each is drawn between this and twice as much
     report_interval: int = SECOND
-    control_interval: int = 200 * MS  # between two decisions of a leader
+    control_interval: int = 200 * MS  # between decisions of a leader
 
 
 @dataclass
 class Timers:
-    """When each timer runs out."""
+    """When each timer expires."""
 
     election: int = 0
     heartbeat: int = 0
@@ -79,9 +79,9 @@
 
 
 class Agent:
-    """The agent of one proxy. Event methods return the effects that the runtime carries out."""
+    """The agent of one proxy. Event methods return the effects that the runtime must carry out."""
 
-    # The parts it is made of; tests put faulty ones in their place.
+    # The types of its components; tests replace them with faulty ones.
     node_type: type[Node] = Node
     state_type: type[ReplicatedState] = ReplicatedState
     controller_type: type[Controller] = Controller
@@ -99,15 +99,15 @@
         durable: bool = False,
         connections_to: Callable[[str], int] = lambda _endpoint: 0,
     ) -> None:
-        """``started_at`` orders the processes of this name, ``nonce`` tells this voter from others of it.
+        """``started_at`` orders the processes of this name; ``nonce`` distinguishes voters of the same name.
 
-        ``stored`` is a voter's state of an earlier process, ``durable`` whether this one's outlives it.
-        ``connections_to`` counts what we hold at an endpoint, set-ups under way included.
+        ``stored`` is the voter state of an earlier process; ``durable`` says whether the state of this one
+        outlives it. ``connections_to`` counts our connections to an endpoint, including those being set up.
         """
         self.name, self.settings, self.rnd = name, settings, rnd
         self.replicated = self.state_type()
         self.epoch = Epoch()  # of the replicated state
-        self.latest_epoch = Epoch()  # that any proxy has reported
+        self.latest_epoch = Epoch()  # the latest that any proxy has reported
         self.node: Node | None = None
         if name in settings.voters:
             self.node = self.node_type(Voter(name, nonce), stored, settings.voters)
@@ -118,23 +118,23 @@
         self.durable, self.version, self.counters = durable, "", Counters()
         self.status_board = StatusBoard()
         self.next_timer = 0
-        self.controller: Controller | None = None  # while we lead
+        self.controller: Controller | None = None  # only while this proxy leads
         self._first_grants: dict[int, int] = {}  # release -> second of its first grant
-        self._proposed_index = 0  # of the command that is not committed yet
-        self._known_leader = ""  # as a proxy without a vote hears
+        self._proposed_index = 0  # of the controller's last proposal; the next one waits until it is applied
+        self._known_leader = ""  # as reported to a proxy that is not a voter
         self._connections_to, self._reported_connections = connections_to, dict[str, int]()
         self._pending = PendingCommands()
         self._budgets_command_id = 0
         self._reports_sent = 0
         self._timers = Timers()
-        self._is_reconciled = True  # with the replicated state, by the permit holder
+        self._is_reconciled = True  # whether the permit holder is up to date with the replicated state
         self._now = self._wall_ms = 0
         self._effects: list[Effect] = []
 
     # --- events -------------------------------------------------------------------------------------------
 
     def start(self, now: int, wall_ms: int) -> list[Effect]:
-        """Begin. The first report goes out at once: a proxy that starts must hear what is out."""
+        """Start. The first report is sent at once: a starting proxy needs to learn what is out."""
         self._begin_event(now, wall_ms)
         self._timers = Timers(
             election=now + self._draw_election_timeout(), heartbeat=now, report=now, control=now
@@ -142,7 +142,7 @@
         return self._end_event()
 
     def on_timer(self, now: int, wall_ms: int) -> list[Effect]:
-        """``next_timer`` is reached."""
+        """The time ``next_timer`` has been reached."""
         self._begin_event(now, wall_ms)
         timers = self._timers
         if self.node is not None and timers.election <= now:
@@ -175,23 +175,23 @@
         return self._end_event()
 
     def on_records_stored(self, now: int, wall_ms: int, token: int) -> list[Effect]:
-        """What ``Persist`` with this token, and those before it, asked for is stored."""
+        """The records of ``Persist`` with this token, and of those before it, are stored."""
         self._begin_event(now, wall_ms)
         if self.node is not None:
             self._apply(self.node.on_records_stored(token))
         return self._end_event()
 
     def on_storage_failed(self, now: int, wall_ms: int, reason: str) -> list[Effect]:
-        """Our state could not be stored: we have no vote until another process begins."""
+        """The voter state could not be stored: this proxy has no vote until its process is restarted."""
         self._begin_event(now, wall_ms)
         if self.node is not None and self.node.role is not Role.FAILED:
-            text = f"the state cannot be stored, no vote from here: {reason}"
+            text = f"voter state cannot be stored, this proxy no longer votes: {reason}"
             self._log("rollouts.storage_failed", text, "error")
             self._apply(self.node.on_storage_failed())
         return self._end_event()
 
     def on_cluster_state(self, now: int, wall_ms: int, cluster: ClusterState) -> list[Effect]:
-        """What is observed besides the log has changed."""
+        """The observations outside the log have changed."""
         self._begin_event(now, wall_ms)
         if cluster.halts != self.holder.cluster.halts:
             self._is_reconciled = False
@@ -201,7 +201,7 @@
     def on_own_status(
         self, now: int, wall_ms: int, serving: bool, counters: Counters | None = None
     ) -> list[Effect]:
-        """Whether this proxy serves traffic, and what it has counted."""
+        """Update whether this proxy serves traffic, and its counters."""
         self._begin_event(now, wall_ms)
         if serving != self.holder.serving:
             self._is_reconciled, self.holder.report_due = False, True
@@ -213,63 +213,66 @@
     def on_permit_executed(
         self, now: int, wall_ms: int, permit_id: int, digest: str, failure: str = ""
     ) -> list[Effect]:
-        """What ``ExecutePermit`` asked for is done, or could not be; this digest is in force now."""
+        """``ExecutePermit`` has completed or failed; ``digest`` is that of the bundle now in effect."""
         self._begin_event(now, wall_ms)
         before = self.holder.digest
         self.holder.on_permit_executed(permit_id, digest, failure)
         if failure:
-            text = f"permit {permit_id}: {failure}; {before or 'the own file'} stays"
+            text = f"permit {permit_id} failed: {failure}; still runs with {before or 'its own file'}"
             self._log("rollouts.permit_failed", text, "error")
         elif permit_id:
-            self._log("rollouts.permit_executed", f"permit {permit_id}: runs with {digest or 'its own file'}")
+            self._log(
+                "rollouts.permit_executed",
+                f"permit {permit_id} executed: runs with {digest or 'its own file'}",
+            )
         self._is_reconciled = False
         return self._end_event()
 
     def on_bundle_checked(self, now: int, wall_ms: int, digest: str, failure: str) -> list[Effect]:
-        """What ``CheckBundle`` asked for is done; why the bundle cannot be taken over, or empty."""
+        """``CheckBundle`` has completed; ``failure`` is why the bundle cannot be applied, or empty."""
         self._begin_event(now, wall_ms)
         self.holder.on_bundle_checked(digest, failure)
         return self._end_event()
 
-    # --- requests of our operator -------------------------------------------------------------------------
+    # --- requests of operators ----------------------------------------------------------------------------
 
     def submit(self, now: int, wall_ms: int, command: Command) -> tuple[int, list[Effect]]:
-        """Have a command committed; the id under which ``CommandResult`` answers. It is sent again until a
-        reply comes, which its id makes safe."""
+        """Submit a command to the log and return its id, which its ``CommandResult`` carries. It is resent
+        until a reply arrives; the id makes that safe."""
         self._begin_event(now, wall_ms)
-        number = self.rnd.getrandbits(53) or 1
-        self._submit(msgspec.structs.replace(command, id=number, at_ms=max(0, wall_ms)))
-        return number, self._end_event()
+        command_id = self.rnd.getrandbits(53) or 1
+        self._submit(msgspec.structs.replace(command, id=command_id, at_ms=max(0, wall_ms)))
+        return command_id, self._end_event()
 
-    def forget_command(self, number: int) -> None:
-        """Nobody waits for its result any more; it may still be committed."""
-        self._pending.take(number)
+    def forget_command(self, command_id: int) -> None:
+        """Stop waiting for the result of a command; it may still be committed."""
+        self._pending.take(command_id)
 
     def announce_halt(self, now: int, wall_ms: int, release_id: int) -> list[Effect]:
-        """Halt a release wherever this proxy can be heard, without a quorum."""
+        """Halt a release on all proxies that gossip reaches, without a quorum."""
         self._begin_event(now, wall_ms)
         self._effects.append(AnnounceHalt(release_id))
         return self._end_event()
 
     def begin_epoch(self, now: int, wall_ms: int) -> tuple[str, list[Effect]]:
-        """Begin a new history with the state that is held here; why not, or empty."""
+        """Start a new epoch from the state of this proxy; returns why it cannot, or empty."""
         self._begin_event(now, wall_ms)
         if self.node is None or self.node.role is Role.FAILED:
-            return "this proxy is no voter", self._end_event()
-        text = f"a new history begins here with entry {self.replicated.index}"
+            return "this proxy is not a voter", self._end_event()
+        text = f"new epoch started here from entry {self.replicated.index}"
         self._log("rollouts.epoch_begun", text, "warning")
-        number = max(self.latest_epoch, self.epoch).number + 1
-        epoch = Epoch(number, self.rnd.getrandbits(53))
+        epoch_number = max(self.latest_epoch, self.epoch).number + 1
+        epoch = Epoch(epoch_number, self.rnd.getrandbits(53))
         self._apply(self.node.begin_epoch(epoch, self.replicated.save(), self.replicated.index))
         return "", self._end_event()
 
-    # --- the frame of each event --------------------------------------------------------------------------
+    # --- start and end of each event ----------------------------------------------------------------------
 
     def _begin_event(self, now: int, wall_ms: int) -> None:
         self._now, self._wall_ms, self._effects = now, wall_ms, []
 
     def _end_event(self) -> list[Effect]:
-        """Reconcile once for all entries that an event has brought: a permit may end in the same event."""
+        """Reconcile once, after all entries of the event: a permit may end in the event that granted it."""
         if not self._is_reconciled:
             self._is_reconciled = True
             self._effects += self.holder.reconcile()
@@ -301,7 +304,7 @@
 
     @property
     def leader_name(self) -> str:
-        """The leader as far as it is known, or empty."""
+        """The leader, if known, or empty."""
         if self.node is not None and self.node.role is not Role.NON_VOTER:
             return self.node.leader or ""
         return self._known_leader
@@ -317,12 +320,12 @@
         got_vote = (
             isinstance(message, RequestVote) and not message.pre_vote and node.voted_for == message.sender
         )
-        # A non-voter goes on asking to join: what it is sent may be meant for the voter before it.
+        # A non-voter keeps asking to join: a message to it may be meant for the previous voter of its name.
         if (is_leader or got_vote) and node.role is not Role.NON_VOTER:
             self._timers.election = self._now + self._draw_election_timeout()
 
     def _apply(self, effects: list[consensus.Effect]) -> None:
-        """Carry out what the node asks, then compact its log where it has grown long."""
+        """Carry out the node's effects, then compact its log if it has grown too long."""
         node = self.node
         assert node is not None
         for effect in effects:
@@ -355,23 +358,23 @@
             self.controller = self.controller_type(self._now, self.rnd)
             self._proposed_index = 0
             self._timers.heartbeat = self._now + self.settings.heartbeat_interval
-            self._log("rollouts.leading", f"leads term {node.term} of epoch {node.epoch.number}")
+            self._log("rollouts.leading", f"leader in term {node.term} of epoch {node.epoch.number}")
         elif node.role is not Role.LEADER and self.controller is not None:
             self.controller = None
             self._pending.drop_requested()
-            text = f"leads no more; term {node.term}, leader {node.leader or 'unknown'}"
+            text = f"no longer leader; term {node.term}, leader {node.leader or 'unknown'}"
             self._log("rollouts.following", text)
 
     def _on_committed(self, index: int, entry: Entry) -> None:
         changed_state = self._apply_entry(index, entry)
         if self.controller is not None:
             if changed_state:
-                self._timers.control = self._now  # the next command is proposed at once
+                self._timers.control = self._now  # propose the next command at once
             for name in self._followers():
                 self._send_catch_up(name)
 
     def _apply_entry(self, index: int, entry: Entry) -> bool:
-        """Apply a committed entry; False for a command that was rejected or is not known here."""
+        """Apply a committed entry; False for a command that was rejected or is unknown here."""
         if entry.kind != EntryKind.COMMAND:
             self.replicated.state.index = index
             return True
@@ -408,14 +411,14 @@
         elif decision.id != self._budgets_command_id:
             self._effects.append(CommandResult(decision.id, text, rejection, index))
 
-    # --- what a leader proposes ---------------------------------------------------------------------------
+    # --- proposals of a leader ----------------------------------------------------------------------------
 
     def _on_control_timer(self) -> None:
-        for number, data in self._pending.due_for_retry(self._now):
-            self._forward(number, data)
+        for command_id, data in self._pending.due_for_retry(self._now):
+            self._forward(command_id, data)
         self._submit_own_budgets()
         if any(count and not self._connections_to(e) for e, count in self._reported_connections.items()):
-            self.holder.report_due = True  # an endpoint that is out holds none of our connections any more
+            self.holder.report_due = True  # our last connection to an endpoint that is out has ended
         node = self.node
         if node is None or self.controller is None or node.role is not Role.LEADER:
             return
@@ -431,7 +434,7 @@
         inputs = Inputs(
             self._now, self.replicated, self.holder.cluster, self.status_board.reports,
             self.status_board.history,
-            self._answering_voters(node), self._first_grants,
+            self._voters_responding(node), self._first_grants,
         )  # fmt: skip
         command = controller.decide(inputs)
         if command is not None:
@@ -439,13 +442,13 @@
             if isinstance(command, HaltRelease):
                 self._effects.append(AnnounceHalt(command.release_id))
 
-    def _answering_voters(self, node: Node) -> dict[str, bool]:
-        """Of each configured voter, whether it answers; none does while the voters are being changed."""
-        seen = node.responsive | node.responsive_before | {node.identity}
+    def _voters_responding(self, node: Node) -> dict[str, bool]:
+        """For each configured voter, whether it responds; all False while the set of voters is changing."""
+        responsive = node.responsive | node.responsive_before | {node.identity}
         configured = self.settings.voters
         is_complete = {v.name for v in node.voters} >= set(configured) and node.is_configuration_committed
-        answering = {v.name for v in node.voters if v in seen}
-        return {name: is_complete and name in answering for name in configured}
+        responding = {v.name for v in node.voters if v in responsive}
+        return {name: is_complete and name in responding for name in configured}
 
     def _propose(self, command: Command) -> None:
         node = self.node
@@ -458,29 +461,31 @@
     # --- commands -----------------------------------------------------------------------------------------
 
     def _submit_own_budgets(self) -> None:
-        """A voter has the budgets of its own operator file committed."""
+        """A voter submits the budgets of its own operator file when the replicated ones differ."""
         budgets = self.settings.budgets
         if self.name not in self.settings.voters or self._budgets_command_id in self._pending:
             return
         if self.replicated.index and self.replicated.state.budgets.get(self.name) != budgets:
-            number = self._budgets_command_id = self.rnd.getrandbits(53) or 1
+            command_id = self._budgets_command_id = self.rnd.getrandbits(53) or 1
             at_ms = max(0, self._wall_ms)
-            self._submit(SetBudgets(voter=self.name, budgets=budgets, by=self.name, id=number, at_ms=at_ms))
+            self._submit(
+                SetBudgets(voter=self.name, budgets=budgets, by=self.name, id=command_id, at_ms=at_ms)
+            )
 
     def _submit(self, command: Command) -> None:
         data = encoder.encode(command)
         self._pending.add_own(command.id, data, self._now)
         self._forward(command.id, data)
 
-    def _forward(self, number: int, data: bytes) -> None:
+    def _forward(self, command_id: int, data: bytes) -> None:
         if self.is_leader:
-            self._append_command(number, data)
+            self._append_command(command_id, data)
         elif self.leader_name:
-            self._send(self.leader_name, CommandRequest(self.epoch, self.name, number, data))
+            self._send(self.leader_name, CommandRequest(self.epoch, self.name, command_id, data))
 
-    def _append_command(self, number: int, data: bytes) -> None:
+    def _append_command(self, command_id: int, data: bytes) -> None:
         assert self.node is not None
-        if number in self.replicated.state.applied_ids:
+        if command_id in self.replicated.state.applied_ids:
             return
         _, effects = self.node.propose(data)
         self._apply(effects)
@@ -501,7 +506,7 @@
             self._append_command(message.id, message.command)
 
     def _repeat_reply(self, message: CommandRequest) -> None:
-        """The reply to a command that was applied before: the first one was lost."""
+        """Reply again to a command that was already applied: the first reply was lost."""
         for decision in reversed(self.replicated.state.history):
             if decision.id == message.id and decision.rejection != REPEATED:
                 text, rejection, index = decision.text, decision.rejection, decision.index
@@ -517,7 +522,7 @@
     # --- status reports -----------------------------------------------------------------------------------
 
     def _send_reports(self) -> None:
-        """Tell all voters how we are; one of them in turn is asked for entries, if we have no vote."""
+        """Report our status to all voters. A non-voting proxy asks one of them, in turn, for entries."""
         holder = self.holder
         holder.report_due = False
         self._timers.report = self._now + self.settings.report_interval
@@ -551,17 +556,17 @@
         ):
             self._send_catch_up(status.name)
 
-    # --- entries for proxies without a vote ---------------------------------------------------------------
+    # --- catching up proxies that are not voters ----------------------------------------------------------
 
     def _followers(self) -> list[str]:
-        """Proxies that report and have no log of their own."""
+        """Proxies that report and are not sent the log by Raft."""
         node = self.node
         assert node is not None
         with_log = {v.name for v in node.progress} | {node.identity.name}
         return [name for name in self.status_board.recent(self._now) if name not in with_log]
 
     def _send_catch_up(self, to: str, from_start: bool = False) -> None:
-        """Send the committed entries that a proxy lacks, as far as we know."""
+        """Send the committed entries that a proxy lacks, by its last report."""
         node = self.node
         if node is None or node.role is Role.NON_VOTER or node.epoch != self.epoch:
             return
@@ -578,7 +583,7 @@
 
     def _on_log_catch_up(self, message: LogCatchUp) -> None:
         if self.node is not None or message.epoch < self.epoch:
-            return  # a voter goes by its log, also one that has not joined yet
+            return  # a voter gets entries through Raft, even before it has joined
         if message.epoch > self.epoch:
             self.epoch = message.epoch
             self.replicated.load(0, b"")
--- a/arrowseam/rollouts/budgets.py
+++ b/arrowseam/rollouts/budgets.py
@@ -1,7 +1,7 @@
 """Whether disruption budgets allow one more proxy or endpoint to be out of service.
 
-Whatever is out counts once by its name, by plan or by a fault. Where voters set different budgets, the
-tightest of each figure holds.
+Each name counts once, whether it is out by plan or because of a fault. Where voters set different budgets,
+the strictest value of each limit applies.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 from arrowseam.config.budgets import Amount, DisruptionBudgets
 
-ROUNDING = 1e-9  # what a product of shares may miss a whole number or a sum of weights by
+TOLERANCE = 1e-9  # for rounding errors in shares of a count and in sums of weights
 
 
 class ResourceKind(StrEnum):
-    """What a permit takes out; the values are those of the log, the wire and the rows of control."""
+    """What a permit takes out of service; the values appear in the log, on the wire and in control's rows."""
 
     PROXY = "proxy"
     ENDPOINT = "server"
 
 
 class Resource(msgspec.Struct, frozen=True, array_like=True):
-    """A proxy or an endpoint as the budgets see it."""
+    """A proxy or an endpoint, as the budgets count it."""
 
     name: str
     zone: str = ""
@@ -34,7 +34,7 @@
 
 
 class ResourceTotals(msgspec.Struct, frozen=True, array_like=True):
-    """How many there are in all, in each zone and of each machine type, and their weight."""
+    """The number of resources in total, by zone and by machine type, and their total weight."""
 
     count: int = 0
     zones: dict[str, int] = {}
@@ -43,7 +43,7 @@
 
 
 def totals_of(resources: Iterable[Resource]) -> ResourceTotals:
-    """Count resources; a sum of weights depends on their order in its last digits."""
+    """Count resources; the last digits of the total weight depend on their order."""
     zones: dict[str, int] = {}
     machine_types: dict[str, int] = {}
     count, weight = 0, 0.0
@@ -55,8 +55,8 @@
 
 
 def tightest_limit(amounts: Iterable[Amount], total: int) -> int:
-    """The smallest of these amounts of so many, shares rounded down; without any it is 0."""
-    limits = [a if isinstance(a, int) else math.floor(a * total + ROUNDING) for a in amounts]
+    """The smallest of these amounts, with shares of ``total`` rounded down; 0 if there are none."""
+    limits = [a if isinstance(a, int) else math.floor(a * total + TOLERANCE) for a in amounts]
     return min(limits, default=0)
 
 
@@ -67,9 +67,10 @@
     out: Mapping[str, Resource],
     totals: ResourceTotals,
 ) -> str:
-    """Why this resource may not go out beside those that are out; empty if it may.
+    """Why this resource may not go out in addition to those that are out; empty if it may.
 
-    ``budgets`` are by the voter that set them, ``out`` by name whatever is out for any reason.
+    ``budgets`` is keyed by the voter that set them; ``out`` is keyed by name and holds what is out for any
+    reason.
     """
     if not budgets:
         return "no voter has said a budget"
@@ -87,8 +88,8 @@
 def _count_violation(
     limits: list[DisruptionBudgets], kind: ResourceKind, out: int, totals: ResourceTotals
 ) -> str:
-    proxies = kind == ResourceKind.PROXY
-    allowed = tightest_limit((b.proxies if proxies else b.servers for b in limits), totals.count)
+    is_proxy = kind == ResourceKind.PROXY
+    allowed = tightest_limit((b.proxies if is_proxy else b.servers for b in limits), totals.count)
     return f"{out} out, {allowed} of {totals.count} may be" if out + 1 > allowed else ""
 
 
@@ -99,19 +100,26 @@
     others: list[Resource],
     totals: ResourceTotals,
 ) -> str:
-    zone, proxies = resource.zone, kind == ResourceKind.PROXY
+    zone, is_proxy = resource.zone, kind == ResourceKind.PROXY
     out, total = sum(other.zone == zone for other in others), totals.zones.get(zone, 0)
-    allowed = tightest_limit((b.proxies_zone if proxies else b.servers_zone for b in limits), total)
+    allowed = tightest_limit((b.proxies_zone if is_proxy else b.servers_zone for b in limits), total)
     return f"{out} out in zone {zone}, {allowed} of {total} may be" if zone and out + 1 > allowed else ""
 
 
 def _machine_type_violation(
     limits: list[DisruptionBudgets], resource: Resource, others: list[Resource], totals: ResourceTotals
 ) -> str:
-    alike = resource.machine_type
-    out, total = sum(other.machine_type == alike for other in others), totals.machine_types.get(alike, 0)
+    machine_type = resource.machine_type
+    out, total = (
+        sum(other.machine_type == machine_type for other in others),
+        totals.machine_types.get(machine_type, 0),
+    )
     allowed = tightest_limit((b.servers_type for b in limits), total)
-    return f"{out} out of type {alike}, {allowed} of {total} may be" if alike and out + 1 > allowed else ""
+    return (
+        f"{out} out of type {machine_type}, {allowed} of {total} may be"
+        if machine_type and out + 1 > allowed
+        else ""
+    )
 
 
 def _weight_violation(
@@ -119,6 +127,6 @@
 ) -> str:
     ready = totals.weight - resource.weight - sum(other.weight for other in others)
     required = max(b.least_ready for b in limits) * totals.weight
-    if ready < required - ROUNDING:
+    if ready < required - TOLERANCE:
         return f"{ready:g} of the weight would be ready, {required:g} must be"
     return ""
--- a/arrowseam/rollouts/cluster_observer.py
+++ b/arrowseam/rollouts/cluster_observer.py
@@ -1,4 +1,4 @@
-"""Reads from membership and driver what rollouts observe of the cluster."""
+"""Reads the cluster state that rollouts observe from the membership view and the driver."""
 
 from __future__ import annotations
 
@@ -13,20 +13,22 @@
 from arrowseam.rollouts.budgets import Resource
 from arrowseam.rollouts.observed import ClusterState, ObservedEndpoint, ObservedProxy
 
-HALT_PREFIX = "!release-"  # halts spread through the membership view as cordons of such names
-VIEW_MAX_AGE = 3 * SECOND  # an older digest of a membership view says nothing about ours
+HALT_PREFIX = "!release-"  # halts are gossiped in the membership view as cordons with this prefix
+VIEW_MAX_AGE = 3 * SECOND  # older digests of membership views are not compared with ours
 
 
 def observe_cluster(
     membership: MembershipRuntime, request_handler: RequestHandler, out_by_plan: Collection[str], now: int
 ) -> ClusterState:
-    """What this proxy observes; ``out_by_plan`` are the endpoints that a permit keeps out here, which is why
-    the driver has them cordoned. ``now`` in microseconds of the monotonic clock."""
+    """What this proxy observes. The driver has the endpoints in ``out_by_plan`` cordoned because of a permit,
+    not by an operator. ``now`` is in microseconds of the monotonic clock."""
     view = membership.view
-    by_hand = (set(request_handler.driver.cordoned) - set(out_by_plan)) | set(view.cordons.cordoned())
+    cordoned_by_operators = (set(request_handler.driver.cordoned) - set(out_by_plan)) | set(
+        view.cordons.cordoned()
+    )
     return ClusterState(
         _observe_proxies(view),
-        _observe_endpoints(request_handler, by_hand),
+        _observe_endpoints(request_handler, cordoned_by_operators),
         membership.config.settings.proxy_count,
         _views_agree(view, now),
         _announced_halts(view),
@@ -59,11 +61,11 @@
 
 
 def _views_agree(view: ClusterView, now: int) -> bool:
-    """Whether all proxies that were heard lately have our view. What they sent before our own last change is
-    no sign that views differ."""
+    """Whether all proxies with recent messages have our view. Digests that were sent before our own view last
+    changed do not show that views differ."""
     since = max(now - VIEW_MAX_AGE, view.changed_at + SECOND)
-    heard = [name for name, (_, at) in view.members.infos.items() if at > since and name in view.records]
-    alive = [name for name in heard if view.records[name].state is State.ALIVE]
+    recent = [name for name, (_, at) in view.members.infos.items() if at > since and name in view.records]
+    alive = [name for name in recent if view.records[name].state is State.ALIVE]
     return all(view.members.reported_digests.get(name, view.digest) == view.digest for name in alive)
 
 
--- a/arrowseam/rollouts/commands.py
+++ b/arrowseam/rollouts/commands.py
@@ -1,7 +1,7 @@
 """The commands of the replicated log: what operators and the leader ask the replicated state to change.
 
-Commands are MessagePack arrays: tags and the order of fields are the format of the log, names are free to
-change. ``decision_name`` is what the rows of control and the logs call a command.
+Commands are encoded as MessagePack arrays: type tags and the order of fields are the log format, names may
+change. ``decision_name`` is the name of a command in control's rows and in logs.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
 from arrowseam.membership.records import Name, Number
 from arrowseam.rollouts.budgets import Resource, ResourceKind, ResourceTotals
 
-BUNDLE_MAX = 64 << 10  # bytes of a bundle of settings
+BUNDLE_MAX = 64 << 10  # maximum size of a settings bundle in bytes
 
-Line = Annotated[str, Meta(max_length=400)]
+ShortText = Annotated[str, Meta(max_length=400)]
 
 
 class ReleaseKind(StrEnum):
     """What a release does to each proxy."""
 
-    SETTINGS = "settings"  # brings in a bundle of settings
+    SETTINGS = "settings"  # applies a bundle of settings
     RESTART = "restart"
 
 
 class PermitOutcome(StrEnum):
     """How a proxy's permit ended."""
 
-    BACK = "back"  # it has done what it was permitted, and serves again
-    UNUSED = "unused"  # it did not begin: the release was halted
+    BACK = "back"  # the proxy has done what was permitted, and serves again
+    UNUSED = "unused"  # the proxy did not start, because the release was halted
     FAILED = "failed"
-    WRITTEN_OFF = "written off"  # an operator has found that it will not come back
+    WRITTEN_OFF = "written off"  # an operator has declared that the proxy will not come back
 
 
 class CommandBase(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
-    """What all commands carry."""
+    """Fields of all commands."""
 
     decision_name: ClassVar[str] = ""
 
-    by: Line = ""  # who asked
-    at_ms: Number = 0  # Unix time; shown to people, decides nothing
-    id: Number = 0  # makes a command idempotent: a repeated id changes nothing; 0: none
+    by: ShortText = ""  # who requested it
+    at_ms: Number = 0  # Unix time; informational, decides nothing
+    id: Number = 0  # makes retries idempotent: a repeated id changes nothing; 0: none
 
 
 class SetBudgets(CommandBase, frozen=True, tag=1):
-    """The budgets that a voter's operator file sets; None: the voter has no budgets any more."""
+    """Set the budgets from a voter's operator file; None removes that voter's budgets."""
 
     decision_name: ClassVar[str] = "limit"
 
@@ -57,7 +57,7 @@
 
 
 class Drain(CommandBase, frozen=True, tag=2):
-    """Take an endpoint out as soon as the budgets allow."""
+    """Take an endpoint out of service as soon as the budgets allow."""
 
     decision_name: ClassVar[str] = "drain"
 
@@ -65,7 +65,7 @@
 
 
 class Undrain(CommandBase, frozen=True, tag=3):
-    """An endpoint is back, or ``written_off``: it is waited for no longer."""
+    """End the drain of an endpoint that is back, or that is ``written_off`` and no longer waited for."""
 
     decision_name: ClassVar[str] = "undrain"
 
@@ -74,35 +74,36 @@
 
 
 class GrantPermit(CommandBase, frozen=True, tag=4):
-    """Let a proxy or an endpoint go out.
+    """Allow a proxy or an endpoint to go out of service.
 
-    It carries what the leader observed when it proposed this: the replicated state checks the budgets again.
+    Carries what the leader observed when it proposed the grant, with which the replicated state checks the
+    budgets again.
     """
 
     decision_name: ClassVar[str] = "grant"
 
     kind: ResourceKind
     resource: Resource
-    started_at: Number  # of the proxy's process; 0 of an endpoint
-    missing: tuple[Resource, ...]  # out for any reason, as the leader observes
+    started_at: Number  # of the proxy's process; 0 for an endpoint
+    missing: tuple[Resource, ...]  # out for any reason, as observed by the leader
     totals: ResourceTotals
     release_id: Number = 0
     digest: str = ""  # of the bundle that the proxy is to run with
 
 
 class ReturnPermit(CommandBase, frozen=True, tag=5):
-    """The permit of a proxy ends."""
+    """End the permit of a proxy."""
 
     decision_name: ClassVar[str] = "return"
 
     permit_id: Number
     outcome: PermitOutcome
-    started_at: Number = 0  # of the process that says so
-    reason: Line = ""
+    started_at: Number = 0  # of the process that reports the outcome
+    reason: ShortText = ""
 
 
 class MarkDrained(CommandBase, frozen=True, tag=6):
-    """No proxy holds a connection to an endpoint that is out."""
+    """Record that no proxy holds a connection to an endpoint that is out."""
 
     decision_name: ClassVar[str] = "safe"
 
@@ -110,21 +111,21 @@
 
 
 class PlanRelease(CommandBase, frozen=True, tag=7):
-    """A release in waves of proxies, which begins with ``StartRelease``."""
+    """Plan a release to proxies in waves; ``StartRelease`` starts it."""
 
     decision_name: ClassVar[str] = "plan"
 
-    kind: str  # a ReleaseKind; others are rejected when they are applied
+    kind: str  # a ReleaseKind; other values are rejected when the command is applied
     bundle: Annotated[bytes, Meta(max_length=BUNDLE_MAX)]
     waves: tuple[tuple[str, ...], ...]
-    soak_s: float = 30.0  # seconds that a wave is watched before the next
-    timeout_s: float = 120.0  # seconds: a member that is out for longer halts the release
-    false_halt_rate: float = 0.01  # probability that a harmless release is halted by its gates
+    soak_s: float = 30.0  # how long a wave is observed before the next one starts
+    timeout_s: float = 120.0  # a member that is out for longer halts the release
+    false_halt_rate: float = 0.01  # probability that the gates halt a harmless release
     gated: bool = True
 
 
 class StartRelease(CommandBase, frozen=True, tag=8):
-    """Begin a planned release."""
+    """Start a planned release."""
 
     decision_name: ClassVar[str] = "start"
 
@@ -132,7 +133,7 @@
 
 
 class AdvanceRelease(CommandBase, frozen=True, tag=9):
-    """A wave is through: so many are done."""
+    """Record that a wave is complete; ``waves_done`` includes it."""
 
     decision_name: ClassVar[str] = "advance"
 
@@ -141,16 +142,16 @@
 
 
 class HaltRelease(CommandBase, frozen=True, tag=10):
-    """Grant nothing more for a release until it is resumed."""
+    """Grant no more permits for a release until it is resumed."""
 
     decision_name: ClassVar[str] = "halt"
 
     release_id: Number
-    reason: Line
+    reason: ShortText
 
 
 class ResumeRelease(CommandBase, frozen=True, tag=11):
-    """Go on, although halts up to this one were announced."""
+    """Resume a release, overriding the halts announced up to this one."""
 
     decision_name: ClassVar[str] = "resume"
 
@@ -160,7 +161,7 @@
 
 
 class RollBackRelease(CommandBase, frozen=True, tag=12):
-    """Bring all members that have changed back to what they had."""
+    """Return all changed members to the settings that they had before."""
 
     decision_name: ClassVar[str] = "back"
 
@@ -168,7 +169,7 @@
 
 
 class CancelRelease(CommandBase, frozen=True, tag=13):
-    """End a release that has changed nobody, or one that is halted and stays as it is."""
+    """End a release that has not started, or a halted one; its members stay as they are."""
 
     decision_name: ClassVar[str] = "cancel"
 
@@ -187,7 +188,7 @@
 
 
 def decode_command(data: bytes) -> Command | None:
-    """A command of the log; None where it is of a later version."""
+    """Decode a command of the log; None if it is of a later version."""
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError:
--- a/arrowseam/rollouts/controller.py
+++ b/arrowseam/rollouts/controller.py
@@ -1,8 +1,8 @@
-"""What a leader proposes next, from the replicated state and what it observes.
+"""Decides what a leader proposes next, from the replicated state and its observations.
 
-The order: permits that have ended, endpoints that are drained, halts, then who may go out next. A proposal
-changes nothing until it is committed, silence proves nothing, and time never ends a permit: it only makes the
-controller wait or halt.
+The order of decisions: permits that have ended, endpoints that are drained, halts, then who may go out next.
+A proposal changes nothing until it is committed. Neither silence nor elapsed time ends a permit: they only
+make the controller wait or halt a release.
 """
 
 from __future__ import annotations
@@ -31,32 +31,32 @@
 from arrowseam.rollouts.status_board import STATUS_MAX_AGE
 
 SECOND = 1_000_000  # microseconds
-VIEWS_DIFFER_MAX = 10 * SECOND  # membership views that differ for longer halt a release
-REASON_MAX = 200  # characters of a proxy's reason that are put in the log
+VIEWS_DIFFER_MAX = 10 * SECOND  # a release is halted when membership views differ for longer
+REASON_MAX = 200  # characters of a proxy's failure reason that go into the replicated log
 
-Reports = Mapping[str, tuple[int, ProxyStatus]]  # proxy -> when its last status came, and that status
+Reports = Mapping[str, tuple[int, ProxyStatus]]  # proxy -> arrival time of its last status, and that status
 
 
 @dataclass(frozen=True)
 class Inputs:
-    """What the controller decides by, as of one moment; times in microseconds of a monotonic clock."""
+    """The inputs of one decision; times are in microseconds of a monotonic clock."""
 
     now: int
     replicated: ReplicatedState
     cluster: ClusterState
     reports: Reports
     history: CounterHistory = field(default_factory=CounterHistory)
-    voters: Mapping[str, bool] = field(default_factory=dict)  # by name: whether it answers
+    voters: Mapping[str, bool] = field(default_factory=dict)  # by name: whether it responds
     first_grants: Mapping[int, int] = field(default_factory=dict)  # release -> second of its first grant
 
     def fresh_status(self, proxy: str) -> ProxyStatus | None:
-        """The last status of a proxy, None if it is too old to count."""
+        """The last status of a proxy; None if there is none or it is too old."""
         at, status = self.reports.get(proxy, (0, None))
         return status if status is not None and self.now - at <= STATUS_MAX_AGE else None
 
 
 class Soak(NamedTuple):
-    """Since when all members of a wave are through."""
+    """Since when all members of a wave have been changed."""
 
     release_id: int
     waves_done: int
@@ -64,7 +64,7 @@
 
 
 class Stall(NamedTuple):
-    """Since when no member of a release could go out, and why."""
+    """Since when no member of a release has been able to go out, and why."""
 
     release_id: int
     since: int
@@ -75,11 +75,12 @@
 
 
 class Controller:
-    """The decisions of one leader. What it remembers ends with its leadership: the next one waits anew."""
+    """Makes the decisions of one leader. Its memory ends with its leadership: the next leader's waits start
+    anew."""
 
     def __init__(self, started_at: int, rnd: random.Random) -> None:
         """``started_at``: when it became leader; ``rnd`` breaks ties in the gates."""
-        self.reason = ""  # why nothing is proposed now
+        self.reason = ""  # why nothing is proposed
         self._started_at, self._rnd = started_at, rnd
         self._permits_seen: dict[int, int] = {}  # permit -> when it was first seen here
         self._granted: dict[ResourceKind, int] = {}  # when the last grant was committed here
@@ -89,7 +90,7 @@
         self._gate_key: tuple[int, int, frozenset[str]] = (0, 0, frozenset())  # release, waves, changed
 
     def decide(self, inputs: Inputs) -> Command | None:
-        """The next command, if there is one; otherwise ``reason`` says what is waited for."""
+        """The next command to propose; if there is none, ``reason`` says what the controller waits for."""
         self.reason = ""
         for permit in inputs.replicated.state.permits.values():
             self._permits_seen.setdefault(permit.id, inputs.now)
@@ -98,20 +99,20 @@
                 return command
         release = inputs.replicated.current_release
         if release is not None:
-            command = self._release(release, inputs)
+            command = self._drive_release(release, inputs)
             if command is not None:
                 return command
         return self._grant_drain(inputs)
 
     def on_committed(self, now: int, command: Command) -> None:
-        """A command was committed and carried out."""
+        """Note that a command was committed and carried out."""
         if isinstance(command, GrantPermit):
             self._granted[command.kind] = now
 
     # --- permits that end ---------------------------------------------------------------------------------
 
     def _return_permit(self, permit: Permit, inputs: Inputs) -> Command | None:
-        """A proxy's permit ends by a report of the process that holds it, or of a later one."""
+        """End a proxy's permit if the process that holds it, or a later one, reports an outcome."""
         report = inputs.reports.get(permit.resource.name)
         if permit.kind != ResourceKind.PROXY or report is None:
             return None
@@ -128,8 +129,8 @@
         return ReturnPermit(permit_id=permit.id, outcome=outcome, started_at=status.started_at, reason=reason)
 
     def _mark_drained(self, permit: Permit, inputs: Inputs) -> Command | None:
-        """An endpoint is drained when every proxy that could hold a connection to it has reported none, since
-        it knows that the endpoint is out. A report that does not name the endpoint is no such report."""
+        """An endpoint is drained once every proxy that could hold a connection to it has reported none since
+        learning that the endpoint is out. A report that omits the endpoint does not count."""
         cluster = inputs.cluster
         if permit.kind != ResourceKind.ENDPOINT or permit.drained:
             return None
@@ -148,8 +149,8 @@
     # --- drains -------------------------------------------------------------------------------------------
 
     def _is_pausing(self, kind: ResourceKind, inputs: Inputs) -> bool:
-        """Whether the pause between two grants lasts. A new leader waits for a whole one: it does not know
-        when the last grant was."""
+        """Whether the pause after the last grant is still in effect. A new leader waits for a full pause,
+        since it does not know when the last grant was."""
         state = inputs.replicated.state
         pause = max((b.pause_s for b in state.budgets.values()), default=0.0)
         since = self._granted.get(kind, self._started_at if kind in state.granted_ms else None)
@@ -163,8 +164,8 @@
         totals, missing = cluster.endpoint_totals(), cluster.missing_endpoints()
         out = {resource.name: resource for resource in missing} | replicated.out_by_plan(kind)
         for name, request in replicated.state.drain_requests.items():
-            seen = cluster.endpoints.get(name)
-            resource = seen.resource if seen is not None else request.endpoint
+            observed = cluster.endpoints.get(name)
+            resource = observed.resource if observed is not None else request.endpoint
             violation = budget_violation(replicated.state.budgets, kind, resource, out, totals)
             if not violation:
                 return GrantPermit(kind=kind, resource=resource, started_at=0, missing=missing, totals=totals)
@@ -173,7 +174,7 @@
 
     # --- releases -----------------------------------------------------------------------------------------
 
-    def _release(self, release: Release, inputs: Inputs) -> Command | None:
+    def _drive_release(self, release: Release, inputs: Inputs) -> Command | None:
         if not release.is_active:
             return None
         reason = self._halt_reason(release, inputs)
@@ -193,11 +194,11 @@
         return None
 
     def _advance(self, release: Release, now: int) -> Command | None:
-        """The next wave begins once this one was watched for the soak time."""
+        """Start the next wave once this one has been observed for the soak time."""
         if self._soak[:2] != (release.id, release.waves_done):
             self._soak = Soak(release.id, release.waves_done, now)
         if now - self._soak.since < release.plan.soak_s * SECOND:
-            self.reason = f"wave {release.waves_done + 1} is watched"
+            self.reason = f"wave {release.waves_done + 1} is being observed"
             return None
         return AdvanceRelease(release_id=release.id, waves_done=release.waves_done + 1)
 
@@ -206,7 +207,7 @@
     def _halt_reason(self, release: Release, inputs: Inputs) -> str:
         """Why the release must halt; empty if it may go on."""
         if inputs.cluster.is_halted(release):
-            return f"said by {inputs.cluster.halts[release.id][1]}"
+            return f"halt announced by {inputs.cluster.halts[release.id][1]}"
         return (
             self._failed_member(release)
             or self._overdue_member(release, inputs)
@@ -218,41 +219,41 @@
     def _failed_member(self, release: Release) -> str:
         for name, member in release.members.items():
             if member.state == MemberState.FAILED and not release.rolling_back:
-                return f"{name} could not take it"
+                return f"{name} failed to apply the release"
             if member.state == MemberState.FAILED and member.attempts > 1:
-                return f"{name} could not go back"
+                return f"{name} failed to roll back"
         return ""
 
     def _overdue_member(self, release: Release, inputs: Inputs) -> str:
         timeout_s = release.plan.timeout_s
         for permit in inputs.replicated.state.permits.values():
-            waited = inputs.now - self._permits_seen.get(permit.id, inputs.now)
-            if permit.release_id == release.id and waited > timeout_s * SECOND:
-                return f"{permit.resource.name} has not come back in {timeout_s:g} s"
+            elapsed = inputs.now - self._permits_seen.get(permit.id, inputs.now)
+            if permit.release_id == release.id and elapsed > timeout_s * SECOND:
+                return f"{permit.resource.name} has not come back within {timeout_s:g} s"
         return ""
 
     def _views_differ(self, inputs: Inputs) -> str:
-        """Membership views that differ for long may hide proxies that are out."""
+        """A long disagreement of membership views may hide proxies that are out."""
         if inputs.cluster.views_agree:
             self._views_differ_since = None
         elif self._views_differ_since is None:
             self._views_differ_since = inputs.now
         elif inputs.now - self._views_differ_since > VIEWS_DIFFER_MAX:
-            return "the views of the fleet differ"
+            return "the proxies' membership views differ"
         return ""
 
     def _stalled(self, release: Release, now: int) -> str:
         timeout_s, stall = release.plan.timeout_s, self._stall
         if stall.release_id == release.id and now - stall.since > timeout_s * SECOND:
-            return f"nobody could go for {timeout_s:g} s: {stall.reason}"
+            return f"no proxy could go out for {timeout_s:g} s: {stall.reason}"
         return ""
 
     def _gate_alarm(self, release: Release, inputs: Inputs) -> str:
-        """Each wave is one comparison; the rate of false halts is split among them."""
+        """Each wave is one comparison; the false halt rate is divided among the waves."""
         if not release.plan.gated or release.rolling_back:
             return ""
         second = inputs.now // SECOND
-        changed, unchanged = self._compared(release)
+        changed, unchanged = self._comparison_groups(release)
         if not changed:
             return ""
         key = release.id, release.waves_done, frozenset(changed)
@@ -261,18 +262,18 @@
             change_second = inputs.first_grants.get(release.id, second)
             self._gate = Gate(inputs.history, changed, unchanged, change_second, second)
             if former is not None:
-                self._gate.take_over(former)
+                self._gate.inherit_wealth(former)
             self._gate_key = key
         assert self._gate is not None
         self._gate.update(second, self._rnd)
         if self._gate.wealth * release.plan.false_halt_rate >= len(release.plan.waves):
-            return f"those changed do worse: {self._gate.worst_figure}"
+            return f"changed proxies perform worse: {self._gate.worst_metric}"
         return ""
 
     @staticmethod
-    def _compared(release: Release) -> tuple[set[str], set[str]]:
-        """The changed members and those to compare them with. In the last wave, when none is left unchanged,
-        the members of the waves before, which were found good, take their place."""
+    def _comparison_groups(release: Release) -> tuple[set[str], set[str]]:
+        """The changed members and those to compare them with. In the last wave, once none is left unchanged,
+        its members are compared with those of the earlier waves, which have passed their gates."""
         changed = {n for n, m in release.members.items() if m.state == MemberState.NEW}
         unchanged = {n for n, m in release.members.items() if m.state == MemberState.OLD}
         if changed and not unchanged and release.waves_done:
@@ -283,15 +284,15 @@
     # --- who goes out next --------------------------------------------------------------------------------
 
     def _grant_member(self, release: Release, waiting: list[str], inputs: Inputs) -> Command | None:
-        """A permit for the first of these that may go out."""
+        """Grant a permit to the first of these that may go out."""
         replicated, cluster = inputs.replicated, inputs.cluster
         kind, reasons = ResourceKind.PROXY, list[str]()
         totals, missing = cluster.proxy_totals(), cluster.missing_proxies()
         out = {resource.name: resource for resource in missing} | replicated.out_by_plan(kind)
         for name in waiting:
             reason = (
-                self._not_ready(name, release, inputs)
-                or self._quorum_at_risk(name, release, inputs)
+                self._not_ready_reason(name, release, inputs)
+                or self._quorum_risk_reason(name, release, inputs)
                 or budget_violation(
                     replicated.state.budgets, kind, cluster.proxies[name].resource, out, totals
                 )
@@ -301,7 +302,7 @@
                 continue
             self._stall = NO_STALL
             if self._is_pausing(kind, inputs):
-                self.reason = "the pause between two"
+                self.reason = "the pause between two grants"
                 return None
             return GrantPermit(
                 kind=kind, resource=cluster.proxies[name].resource,
@@ -309,11 +310,11 @@
                 release_id=release.id, digest=release.digest_for(name),
             )  # fmt: skip
         self.reason = reasons[0] if reasons else ""
-        self._note_stall(release, bool(waiting), inputs)
+        self._update_stall(release, bool(waiting), inputs)
         return None
 
-    def _note_stall(self, release: Release, is_waiting: bool, inputs: Inputs) -> None:
-        """Nobody may go out now: that is a stall unless somebody still is out."""
+    def _update_stall(self, release: Release, is_waiting: bool, inputs: Inputs) -> None:
+        """No member may go out now: the release is stalled unless one is still out."""
         permits = inputs.replicated.state.permits.values()
         if is_waiting and not any(permit.release_id == release.id for permit in permits):
             since = self._stall.since if self._stall.release_id == release.id else inputs.now
@@ -322,35 +323,35 @@
             self._stall = NO_STALL
 
     @staticmethod
-    def _not_ready(name: str, release: Release, inputs: Inputs) -> str:
-        """Why a proxy cannot go out now for reasons of its own; empty if it can."""
+    def _not_ready_reason(name: str, release: Release, inputs: Inputs) -> str:
+        """Why a proxy's own state does not let it go out now; empty if it does."""
         proxy, status = inputs.cluster.proxies.get(name), inputs.fresh_status(name)
         if proxy is None or not proxy.available or status is None:
             return f"{name} is missing"
         if not status.serving:
-            return f"{name} does not serve"
+            return f"{name} is not serving"
         digest = release.digest_for(name)
         if not digest or digest not in inputs.replicated.state.bundles:
             return ""
         check = status.bundle_checks.get(digest)
         if check is None:
-            return f"{name} has not checked it"
+            return f"{name} has not checked the bundle"
         return f"{name}: {check}" if check else ""
 
     @staticmethod
-    def _quorum_at_risk(name: str, release: Release, inputs: Inputs) -> str:
-        """Why a voter may not go out: voters go one at a time, while all others answer, and a restart must
-        not take the last quorum, since a voter without stored state starts as another voter."""
+    def _quorum_risk_reason(name: str, release: Release, inputs: Inputs) -> str:
+        """Why a voter may not go out. Voters go out one at a time, and only while all others respond. A
+        restart must not cost the last quorum, as a voter without stored state starts as a different voter."""
         voters = inputs.voters
         if name not in voters:
             return ""
         if not all(voters.values()):
-            silent = sorted(voter for voter, answers in voters.items() if not answers)
-            return f"{name} is a voter, and {', '.join(silent)} does not answer"
+            silent = sorted(voter for voter, responds in voters.items() if not responds)
+            return f"{name} is a voter, and these do not respond: {', '.join(silent)}"
         out = sorted(voters.keys() & inputs.replicated.out_by_plan(ResourceKind.PROXY).keys())
         if out:
-            return f"{name} is a voter, and so is {out[0]}, which is out"
-        restarts = release.plan.kind == ReleaseKind.RESTART
-        if restarts and not inputs.reports[name][1].durable and 2 * (len(voters) - 1) <= len(voters):
-            return f"{name} keeps no state: the voters left would be no majority"
+            return f"{name} is a voter, and voter {out[0]} is out already"
+        is_restart = release.plan.kind == ReleaseKind.RESTART
+        if is_restart and not inputs.reports[name][1].durable and 2 * (len(voters) - 1) <= len(voters):
+            return f"{name} is a voter without stored state: the remaining voters would not be a majority"
         return ""
--- a/arrowseam/rollouts/effects.py
+++ b/arrowseam/rollouts/effects.py
@@ -1,4 +1,4 @@
-"""What a rollout agent asks of its runtime."""
+"""The effects that a rollout agent returns for its runtime to carry out."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True)
 class ExecutePermit:
-    """Do what a permit allows: run with this bundle, or start anew; then ``on_permit_executed``.
+    """Do what a permit allows, apply this bundle or restart; then call ``on_permit_executed``.
 
-    ``permit_id`` 0: no permit; bring the proxy back to the bundle that it is to run with.
+    ``permit_id`` 0: there is no permit; restore the bundle that the proxy is to run with.
     """
 
     permit_id: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class CheckBundle:
-    """Look whether this bundle could be taken over; then ``on_bundle_checked``."""
+    """Check whether this bundle could be applied; then call ``on_bundle_checked``."""
 
     digest: str
     bundle: bytes
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class CordonEndpoint:
-    """An endpoint is out by plan from now on, or no longer."""
+    """Cordon an endpoint that is now out by plan, or uncordon one that no longer is."""
 
     endpoint: str
     out: bool
@@ -48,24 +48,24 @@
 
 @dataclass(frozen=True)
 class AnnounceHalt:
-    """Spread a halt through the membership view, which needs no quorum."""
+    """Announce a halt through the membership view, which needs no quorum."""
 
     release_id: int
 
 
 @dataclass(frozen=True)
 class CommandResult:
-    """What came of a command that was submitted here."""
+    """The outcome of a command that was submitted here."""
 
     id: int
     text: str
-    rejection: str  # empty if it was carried out
-    index: int  # of its entry, which the local state may not have applied yet
+    rejection: str  # why it was rejected; empty if it was carried out
+    index: int  # of its log entry, which may not be applied here yet
 
 
 @dataclass(frozen=True)
 class LogEvent:
-    """A line for the log."""
+    """Write a line to the log."""
 
     event: str
     text: str
--- a/arrowseam/rollouts/gates.py
+++ b/arrowseam/rollouts/gates.py
@@ -1,13 +1,14 @@
-"""Statistical gates: whether changed proxies do worse than the others, at a stated rate of false alarms.
+"""Statistical gates: whether changed proxies perform worse than the others, with a bounded false alarm rate.
 
-Each second gives four figures of a group of proxies: the share of set-ups that failed, the share that was
-rejected, connections reset as a share of those established, and the mean logarithm of the set-up times. What
-is ranked is the figure of the changed group less that of the other, among the same differences in the seconds
-before the change and in those since.
+Each second gives four metrics of a group of proxies: the share of connection set-ups that failed, the share
+that was rejected, connections reset as a share of those established, and the mean logarithm of the set-up
+times. The metric of the changed group minus that of the other group is ranked among the same differences in
+the seconds before the change and in those since.
 
-If all these seconds are exchangeable, ranks are uniform, and a bet against high ranks multiplies a stake of
-one to 1/alpha with probability alpha at most, however often one looks (Ville 1939; Vovk and others, conformal
-test martingales). Bets of several sizes and the four figures are averaged: an average of martingales is one.
+If all these seconds are exchangeable, the ranks are uniform, and a bet against high ranks grows a stake of
+one to 1/alpha with probability at most alpha, however often it is checked (Ville 1939; Vovk and others,
+conformal test martingales). Bets of several sizes and on the four metrics are averaged: an average of
+martingales is a martingale.
 """
 
 from __future__ import annotations
@@ -20,26 +21,26 @@
 
 import msgspec
 
-BASELINE_SECONDS = 60  # before the change, that are compared with
-BASELINE_MIN = 20  # seconds with a figure among them, or the figure is not judged
-HISTORY_MAX = 300  # seconds kept of each proxy
-# Each epsilon of the power martingale epsilon * p ** (epsilon - 1); several, as no fault's size is known.
+BASELINE_SECONDS = 60  # length of the baseline before the change
+BASELINE_MIN = 20  # a metric with values in fewer seconds of the baseline is not judged
+HISTORY_MAX = 300  # seconds kept for each proxy
+# Values of epsilon in the power martingale epsilon * p ** (epsilon - 1); several, as fault sizes are unknown.
 BET_SIZES = (0.05, 0.2, 0.4, 0.6, 0.8)
-LOG_WEALTH_MIN = -60.0  # no lower, so that a stake can recover
-LOG_WEALTH_MAX = 300.0  # no higher when summed: beyond any alarm, and exp() must not overflow
-RANK_MIN = 1e-12  # of a p-value, so that its logarithm is finite
+LOG_WEALTH_MIN = -60.0  # lower bound, so that a stake can recover
+LOG_WEALTH_MAX = 300.0  # upper bound in sums: beyond any alarm threshold, and exp() does not overflow
+RANK_MIN = 1e-12  # lower bound of a p-value, so that its logarithm is finite
 
-FIGURES = ("failed", "refused", "resets", "slower")  # as alarms name them; refused = ``rejected``
+METRICS = ("failed", "refused", "resets", "slower")  # as alarms name them; refused = ``rejected``
 
 
 class Counters(msgspec.Struct, array_like=True, frozen=True):
-    """Totals of one process since its start; the order of fields is the wire's."""
+    """Totals of one process since its start; the order of fields is the wire format."""
 
     setups: int = 0  # connection requests with a final answer
     failed: int = 0
     rejected: int = 0
-    resets: int = 0  # connections that were established and broke
-    established: int = 0  # now
+    resets: int = 0  # established connections that broke
+    established: int = 0  # at the time of the report
     successes: int = 0
     setup_log_sum: float = 0.0  # of the natural logarithms of set-up times in milliseconds
 
@@ -48,7 +49,7 @@
 
 
 class Interval:
-    """What one proxy, or several together, did in one second."""
+    """The activity of one proxy, or of several together, in one second."""
 
     __slots__ = ("established", "failed", "rejected", "resets", "setup_log_sum", "setups", "successes")
 
@@ -57,12 +58,12 @@
         self.setup_log_sum = 0.0
 
     def add(self, other: Interval) -> None:
-        """Add what another one counts."""
+        """Add the counts of another interval."""
         for name in self.__slots__:
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
-    def figure(self, name: str) -> float | None:
-        """One of ``FIGURES``, or None where there was nothing to judge by."""
+    def metric(self, name: str) -> float | None:
+        """The value of one of ``METRICS``, or None if there is no data for it."""
         match name:
             case "slower":
                 return self.setup_log_sum / self.successes if self.successes else None
@@ -76,16 +77,16 @@
 
 
 class CounterHistory:
-    """What each proxy did in each of the last seconds."""
+    """The activity of each proxy in each of the last seconds."""
 
     def __init__(self) -> None:
         self._last: dict[str, tuple[int, Counters]] = {}
         self._intervals: dict[str, deque[tuple[int, Interval]]] = {}
 
     def record(self, second: int, proxy: str, started_at: int, counters: Counters) -> None:
-        """A report; what it adds to the one before counts for the second in which it came.
+        """Record a report; its increase over the previous one counts for the second in which it arrived.
 
-        The first report of a process counts for nothing: nobody knows over what time it counted.
+        The first report of a process does not count, since the period that it covers is unknown.
         """
         before = self._last.get(proxy)
         self._last[proxy] = started_at, counters
@@ -93,8 +94,8 @@
             return
         interval = Interval()
         for name in _COUNTED:
-            grown = getattr(counters, name) - getattr(before[1], name)
-            setattr(interval, name, max(0, grown) if name != "setup_log_sum" else grown)
+            increase = getattr(counters, name) - getattr(before[1], name)
+            setattr(interval, name, max(0, increase) if name != "setup_log_sum" else increase)
         interval.established = counters.established
         rows = self._intervals.setdefault(proxy, deque(maxlen=HISTORY_MAX))
         if rows and rows[-1][0] == second:
@@ -103,41 +104,41 @@
             rows.append((second, interval))
 
     def sums(self, proxies: Collection[str], first: int, end: int) -> dict[int, Interval]:
-        """What these proxies did together in each second from ``first`` on, before ``end``."""
-        found: dict[int, Interval] = {}
+        """The combined activity of these proxies in each second from ``first`` to before ``end``."""
+        totals: dict[int, Interval] = {}
         for proxy in proxies:
             for second, interval in self._intervals.get(proxy, ()):
                 if first <= second < end:
-                    found.setdefault(second, Interval()).add(interval)
-        return found
+                    totals.setdefault(second, Interval()).add(interval)
+        return totals
 
 
 class Martingale:
-    """The bets on one figure: its wealth grows while the changed group does worse."""
+    """The bets on one metric; their wealth grows while the changed group performs worse."""
 
     def __init__(self, baseline: list[float]) -> None:
         self._sorted = sorted(baseline)
         self.log_wealth = [0.0] * len(BET_SIZES)
 
     def bet(self, difference: float, draw: float) -> None:
-        """Bet on the rank of one second's difference; ``draw``, uniform on 0 to 1, breaks ties."""
+        """Bet on the rank of one second's difference; ``draw``, uniform in [0, 1], breaks ties."""
         low = bisect.bisect_left(self._sorted, difference)
         high = bisect.bisect_right(self._sorted, difference)
         size = len(self._sorted) + 1
         rank = (len(self._sorted) - high + draw * (high - low + 1)) / size
         bisect.insort(self._sorted, difference)
-        for n, bet in enumerate(BET_SIZES):
-            gain = math.log(bet) + (bet - 1.0) * math.log(max(rank, RANK_MIN))
+        for n, epsilon in enumerate(BET_SIZES):
+            gain = math.log(epsilon) + (epsilon - 1.0) * math.log(max(rank, RANK_MIN))
             self.log_wealth[n] = max(LOG_WEALTH_MIN, self.log_wealth[n] + gain)
 
     @property
     def wealth(self) -> float:
-        """What a stake of one has become."""
+        """What a stake of one has grown to."""
         return sum(math.exp(min(x, LOG_WEALTH_MAX)) for x in self.log_wealth) / len(BET_SIZES)
 
 
 class Gate:
-    """One comparison of changed proxies with the others."""
+    """A comparison of changed proxies with unchanged ones."""
 
     def __init__(
         self,
@@ -147,8 +148,9 @@
         change_second: int,
         since: int,
     ) -> None:
-        """``change_second``: when the first proxy went out, the baseline is before it; ``since``: the second
-        in which this comparison begins. Without ``unchanged`` proxies the seconds before stand alone."""
+        """``change_second``: when the first proxy went out; the baseline ends before it. ``since``: the first
+        second of this comparison. Without ``unchanged`` proxies, the changed ones are compared with their own
+        baseline."""
         self._history = history
         self._changed, self._unchanged = frozenset(changed), frozenset(unchanged)
         self._next_second = since
@@ -160,19 +162,22 @@
     def _differences(self, first: int, end: int) -> dict[str, list[float]]:
         changed = self._history.sums(self._changed, first, end)
         unchanged = self._history.sums(self._unchanged, first, end)
-        differences: dict[str, list[float]] = {name: [] for name in FIGURES}
+        differences: dict[str, list[float]] = {name: [] for name in METRICS}
         for second, interval in sorted(changed.items()):
             other = unchanged.get(second)
             if self._unchanged and other is None:
                 continue
             for name, values in differences.items():
-                one, two = interval.figure(name), other.figure(name) if other is not None else 0.0
-                if one is not None and two is not None:
-                    values.append(one - two)
+                changed_value, other_value = (
+                    interval.metric(name),
+                    other.metric(name) if other is not None else 0.0,
+                )
+                if changed_value is not None and other_value is not None:
+                    values.append(changed_value - other_value)
         return differences
 
     def update(self, end: int, rnd: random.Random) -> None:
-        """Bet on the seconds that are over, those before ``end``."""
+        """Bet on the completed seconds, those before ``end``."""
         if end <= self._next_second:
             return
         for name, values in self._differences(self._next_second, end).items():
@@ -181,25 +186,25 @@
                     self.martingales[name].bet(value, rnd.random())
         self._next_second = end
 
-    def take_over(self, former: Gate) -> None:
-        """Go on with the wealth of a gate of the same wave; its groups were others."""
+    def inherit_wealth(self, former: Gate) -> None:
+        """Continue with the wealth of an earlier gate of the same wave, which compared other groups."""
         for name, martingale in former.martingales.items():
             if name in self.martingales:
                 self.martingales[name].log_wealth = list(martingale.log_wealth)
 
     @property
-    def is_ready(self) -> bool:
-        """Whether there was enough before the change to compare with."""
+    def has_baseline(self) -> bool:
+        """Whether there was enough data before the change to compare with."""
         return bool(self.martingales)
 
     @property
     def wealth(self) -> float:
-        """At 1/alpha and more it is an alarm."""
+        """The average wealth of the bets; 1/alpha or more is an alarm."""
         if not self.martingales:
             return 1.0
         return sum(martingale.wealth for martingale in self.martingales.values()) / len(self.martingales)
 
     @property
-    def worst_figure(self) -> str:
-        """The figure with the most wealth; empty without any."""
+    def worst_metric(self) -> str:
+        """The metric with the most wealth; empty if none is judged."""
         return max(self.martingales, key=lambda name: self.martingales[name].wealth, default="")
--- a/arrowseam/rollouts/messages.py
+++ b/arrowseam/rollouts/messages.py
@@ -1,7 +1,7 @@
-"""What proxies send to each other about rollouts, beside the messages of the voters.
+"""The messages that proxies exchange about rollouts, besides those of Raft.
 
-All go in an envelope that names their fleet, inside the frame of ``consensus.framing``. The order of fields
-and the tags are the wire format.
+Each is sent in an envelope that names the fleet, within a frame of ``consensus.framing``. Type tags and the
+order of fields are the wire format.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 
 class ProxyStatus(WireStruct, frozen=True):
-    """What a proxy says of itself; it holds for this process of it."""
+    """What a proxy reports about its current process."""
 
     name: Name
     started_at: Number  # orders the processes of one name
-    applied_index: Number  # of the replicated state that it goes by
+    applied_index: Number  # of the replicated state that it has
     digest: str  # of the bundle that it runs with
     serving: bool
-    completed: list[Number] = msgspec.field(default_factory=list)  # permits after which it is back
+    completed: list[Number] = msgspec.field(default_factory=list)  # permits that it has completed
     unused: list[Number] = msgspec.field(default_factory=list)
     failed: dict[int, str] = msgspec.field(default_factory=dict)
     connections: dict[str, int] = msgspec.field(
         default_factory=dict
-    )  # that it holds at each endpoint that is out
+    )  # how many it holds to each endpoint that is out
     bundle_checks: dict[str, str] = msgspec.field(
         default_factory=dict
-    )  # by digest: empty, or why it cannot take the bundle
+    )  # by digest: empty, or why it cannot apply the bundle
     counters: Counters = Counters()
     version: str = ""
-    durable: bool = False  # its state as a voter survives its process
+    durable: bool = False  # whether its state as a voter outlives the process
 
 
 class StatusReport(WireStruct, frozen=True, tag=20):
-    """A proxy's status, sent to each voter; it may ask for the entries after its index."""
+    """A proxy's status, sent to each voter; it may request the entries after its applied index."""
 
     epoch: Epoch
     status: ProxyStatus
@@ -47,7 +47,7 @@
 
 
 class LogCatchUp(WireStruct, frozen=True, tag=21):
-    """Committed entries for a proxy that is no voter, with a snapshot where the log does not reach back."""
+    """Committed entries for a non-voting proxy, with a snapshot if the log lacks earlier ones."""
 
     epoch: Epoch
     sender: Name
@@ -58,7 +58,7 @@
 
 
 class CommandRequest(WireStruct, frozen=True, tag=22):
-    """An encoded command for the leader."""
+    """An encoded command, sent to the leader."""
 
     epoch: Epoch
     sender: Name
@@ -67,13 +67,13 @@
 
 
 class CommandReply(WireStruct, frozen=True, tag=23):
-    """What came of a command."""
+    """The outcome of a command."""
 
     sender: Name
     id: Number
     text: str
-    rejection: str  # empty if it was carried out
-    index: Number = 0  # of its entry
+    rejection: str  # why it was rejected; empty if it was carried out
+    index: Number = 0  # of its log entry
 
 
 RolloutMessage: TypeAlias = StatusReport | LogCatchUp | CommandRequest | CommandReply
@@ -81,7 +81,7 @@
 
 
 class Envelope(WireStruct, frozen=True):
-    """What a frame holds."""
+    """The payload of a frame."""
 
     fleet: str
     message: Message
@@ -91,23 +91,23 @@
 
 
 def encode_message(fleet: str, message: Message) -> bytes:
-    """The frame of a message."""
+    """Encode a message as a frame."""
     return wrap_frame(encoder.encode(Envelope(fleet, message)))
 
 
 def decode_message(frame: bytes, fleet: str) -> Message:
-    """The message in a frame; raises FrameError, also where it is of another fleet."""
+    """Decode the message in a frame; raises FrameError, also if it comes from another fleet."""
     try:
         envelope = _decoder.decode(unwrap_frame(frame))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise FrameError(f"malformed: {error}") from None
+        raise FrameError(f"malformed frame: {error}") from None
     if envelope.fleet != fleet:
-        raise FrameError("of another fleet")
+        raise FrameError("frame comes from another fleet")
     return envelope.message
 
 
 def sender_name(message: Message) -> str:
-    """The name of the proxy that has sent a message."""
+    """The name of the proxy that sent a message."""
     if isinstance(message, StatusReport):
         return message.status.name
     if isinstance(message, LogCatchUp | CommandRequest | CommandReply):
--- a/arrowseam/rollouts/operator_commands.py
+++ b/arrowseam/rollouts/operator_commands.py
@@ -1,6 +1,6 @@
-"""What operators ask of rollouts through control: one line a command, one function a command.
+"""The rollout commands that operators send through control, one line and one method for each command.
 
-Each answers whether it was done and a text for the operator.
+Each returns whether it succeeded, and a text for the operator.
 """
 
 from __future__ import annotations
@@ -31,71 +31,71 @@
 
 Answer: TypeAlias = tuple[bool, str]
 
-NOT_BEGUN = "this proxy has not begun to agree"
+NOT_STARTED = "rollouts have not started on this proxy"
 RELEASE_STEPS: dict[str, type[StartRelease | RollBackRelease | CancelRelease]] = {
     "start": StartRelease,
     "back": RollBackRelease,
     "cancel": CancelRelease,
 }
-PLAN_NUMBERS = {"soak_s": "soak_s", "patience_s": "timeout_s", "alpha": "false_halt_rate"}
+NUMERIC_PLAN_OPTIONS = {"soak_s": "soak_s", "patience_s": "timeout_s", "alpha": "false_halt_rate"}
 
 
 class Runtime(Protocol):
-    """What the commands need of the rollout runtime."""
+    """The part of the rollout runtime that the commands use."""
 
     name: str
     agent: Agent | None
 
     def submit(self, command: Command) -> Coroutine[Answer]:
-        """Have a command committed and wait for its result."""
+        """Submit a command to the log and wait for its result."""
 
     def announce_halt(self, release_id: int) -> str:
-        """Halt a release at once; why not, or empty."""
+        """Halt a release at once; returns why it cannot be announced, or empty."""
 
     def begin_epoch(self) -> str:
-        """Begin a new history; why not, or empty."""
+        """Start a new epoch; returns why it cannot, or empty."""
 
     def observe(self) -> ClusterState:
         """What this proxy observes of the cluster now."""
 
-    def check(self, bundle: bytes) -> str:
-        """Why a bundle could not be taken over, or empty."""
+    def check_bundle(self, bundle: bytes) -> str:
+        """Why a bundle cannot be applied, or empty."""
 
 
 @dataclass
 class PlanOptions:
-    """The options of ``release plan``, as they stand on the line."""
+    """The options of a ``release plan`` line."""
 
-    fields: dict[str, Any] = field(default_factory=dict)  # of PlanRelease
+    fields: dict[str, Any] = field(default_factory=dict)  # fields of PlanRelease
     by_zone: bool = False
-    names: list[str] | None = None  # all proxies, if None
+    names: list[str] | None = None  # None: all proxies
 
     @classmethod
     def parse(cls, options: list[str]) -> PlanOptions:
-        """Numbers that are none and options that are not known are passed over."""
-        found = cls()
+        """Parse the options; invalid numbers and unknown options are ignored."""
+        parsed = cls()
         for option in options:
             key, _, value = option.partition("=")
-            if key in PLAN_NUMBERS:
+            if key in NUMERIC_PLAN_OPTIONS:
                 with contextlib.suppress(ValueError):
-                    found.fields[PLAN_NUMBERS[key]] = float(value)
+                    parsed.fields[NUMERIC_PLAN_OPTIONS[key]] = float(value)
             elif key == "gated":
-                found.fields["gated"] = value != "0"
+                parsed.fields["gated"] = value != "0"
             elif key == "by_zone":
-                found.by_zone = value != "0"
+                parsed.by_zone = value != "0"
             elif key == "names":
-                found.names = value.split(",")
-        return found
+                parsed.names = value.split(",")
+        return parsed
 
 
 class OperatorCommands:
-    """Carries out the lines ``drain``, ``undrain``, ``release`` and ``agree``."""
+    """Carries out the control commands ``drain``, ``undrain``, ``release`` and ``agree``."""
 
     def __init__(self, runtime: Runtime) -> None:
         self._runtime = runtime
 
     def run(self, words: list[str], body: bytes) -> Coroutine[Answer]:
-        """One line; the body is a bundle of settings."""
+        """Run one line; the body is a bundle of settings."""
         match words:
             case ["drain", *endpoints] if endpoints:
                 return (yield from self._drain(endpoints))
@@ -121,29 +121,29 @@
         return f"control of {self._runtime.name}"
 
     def _drain(self, endpoints: list[str]) -> Coroutine[Answer]:
-        seen = self._runtime.observe().endpoints
+        observed = self._runtime.observe().endpoints
         texts = []
         for endpoint in endpoints:
-            if endpoint not in seen:
+            if endpoint not in observed:
                 return False, f"unknown server {endpoint}"
-            command = Drain(endpoint=seen[endpoint].resource, by=self._by)
-            done, text = yield from self._runtime.submit(command)
+            command = Drain(endpoint=observed[endpoint].resource, by=self._by)
+            succeeded, text = yield from self._runtime.submit(command)
             texts.append(text)
-            if not done:
+            if not succeeded:
                 return False, "; ".join(texts)
         return True, "; ".join(texts)
 
     def _undrain(self, endpoint: str) -> Coroutine[Answer]:
         reason = self._runtime.observe().not_ready_reason(endpoint)
         if reason:
-            return False, f"{reason}: undrain {endpoint} off, to wait no longer"
+            return False, f"{reason}; to stop waiting for it: undrain {endpoint} off"
         return (yield from self._runtime.submit(Undrain(endpoint=endpoint, by=self._by)))
 
     def _plan(self, kind: str, options: PlanOptions, body: bytes) -> Coroutine[Answer]:
         if len(body) > BUNDLE_MAX:
-            return False, f"a bundle of more than {BUNDLE_MAX} bytes"
+            return False, f"the bundle is larger than {BUNDLE_MAX} bytes"
         is_settings = kind == ReleaseKind.SETTINGS
-        reason = self._runtime.check(body) if is_settings else ""
+        reason = self._runtime.check_bundle(body) if is_settings else ""
         if reason:
             return False, reason
         proxies = self._runtime.observe().proxies
@@ -155,24 +155,24 @@
         return (yield from self._runtime.submit(command))
 
     def _step(self, step: str, rest: list[str]) -> Coroutine[Answer]:
-        number, agent = self._release_id(rest), self._runtime.agent
-        if number is None or agent is None:
+        release_id, agent = self._release_id(rest), self._runtime.agent
+        if release_id is None or agent is None:
             return False, "no such release"
         if step == "resume":
-            stamp, halted_by = agent.holder.cluster.halts.get(number, (0, ""))
+            stamp, halted_by = agent.holder.cluster.halts.get(release_id, (0, ""))
             command: Command = ResumeRelease(
-                release_id=number, halt_stamp=stamp, halted_by=halted_by, by=self._by
+                release_id=release_id, halt_stamp=stamp, halted_by=halted_by, by=self._by
             )
         else:
-            command = RELEASE_STEPS[step](release_id=number, by=self._by)
+            command = RELEASE_STEPS[step](release_id=release_id, by=self._by)
         return (yield from self._runtime.submit(command))
 
     def _halt(self, rest: list[str]) -> Answer:
-        number = self._release_id(rest)
-        if number is None:
+        release_id = self._release_id(rest)
+        if release_id is None:
             return False, "no such release"
-        reason = self._runtime.announce_halt(number)
-        return not reason, reason or f"release {number} is halted here; it spreads"
+        reason = self._runtime.announce_halt(release_id)
+        return not reason, reason or f"release {release_id} is halted on this proxy; the halt is spreading"
 
     def _write_off(self, name: str) -> Coroutine[Answer]:
         """End the permit of a proxy that will not come back."""
@@ -186,12 +186,12 @@
     def _begin_epoch(self) -> Answer:
         agent = self._runtime.agent
         if agent is None:
-            return False, NOT_BEGUN
+            return False, NOT_STARTED
         reason = self._runtime.begin_epoch()
-        return not reason, reason or f"a new history begins here with entry {agent.replicated.index}"
+        return not reason, reason or f"new epoch started here from entry {agent.replicated.index}"
 
     def _release_id(self, rest: list[str]) -> int | None:
-        """The release that is named, or the one that is not over."""
+        """The release that is named, or else the unfinished one."""
         if rest and rest[0].isdigit():
             return int(rest[0])
         agent = self._runtime.agent
--- a/arrowseam/rollouts/permit_holder.py
+++ b/arrowseam/rollouts/permit_holder.py
@@ -1,8 +1,8 @@
-"""What the replicated state makes this proxy do: permits of its own, endpoints that are out, bundles.
+"""What the replicated state makes this proxy do: execute its permits, cordon endpoints, check bundles.
 
-A permit is used at most once, by the process that it names. A process of that name that has started since
-reports the permit as completed once it serves with the right bundle: it may be reading a log in which the
-permit ended long ago.
+A permit is used at most once, by the process that it was granted to. A later process of the same name only
+reports the permit as completed, once it serves with the right bundle: it may be catching up on a log in which
+the permit ended long ago.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from arrowseam.rollouts.replicated_state import ReplicatedState
 from arrowseam.rollouts.state import Release
 
-CHECK_RESULT_MAX = 200  # characters of a reason that are reported
-_UNKNOWN = "?"  # a bundle that is being checked
+CHECK_RESULT_MAX = 200  # characters of a failure reason that are reported
+_CHECK_PENDING = "?"  # the result of a bundle check that has not completed
 
 
 class PermitHolder:
-    """This proxy as the holder of permits; ``report_due`` is set when the voters should hear news at once."""
+    """This proxy as a holder of permits; ``report_due`` is set when a report should be sent at once."""
 
     def __init__(self, name: str, started_at: int, digest: str, replicated: ReplicatedState) -> None:
-        """``digest`` is that of the bundle that the process runs with, empty for its own file."""
+        """``digest``: of the bundle that the process runs with; empty for its own settings file."""
         self.name, self.started_at, self.digest = name, started_at, digest
         self.replicated = replicated
         self.cluster = ClusterState()
@@ -31,24 +31,24 @@
         self.completed: list[int] = []
         self.unused: list[int] = []
         self.failed: dict[int, str] = {}
-        self.failed_bundles: set[str] = set()  # could not be taken over by this process
-        self.executing: int | None = None  # the permit under way; 0: a bundle is restored
+        self.failed_bundles: set[str] = set()  # digests of bundles that this process could not apply
+        self.executing: int | None = None  # the permit being executed; 0: a bundle is being restored
         self.report_due = False
         self._handled_permits: set[int] = set()  # permits that were used, or given back unused
-        self._bundle_checks: dict[str, str] = {}  # digest -> empty, why not, or unknown yet
+        self._bundle_checks: dict[str, str] = {}  # digest -> empty, failure reason, or _CHECK_PENDING
         self._effects: list[Effect] = []
 
     @property
     def bundle_checks(self) -> dict[str, str]:
-        """By digest, bundles that were checked: empty, or why this proxy cannot take one over."""
-        return {digest: why for digest, why in self._bundle_checks.items() if why != _UNKNOWN}
+        """The results of completed bundle checks by digest: empty, or why this proxy cannot apply it."""
+        return {digest: result for digest, result in self._bundle_checks.items() if result != _CHECK_PENDING}
 
     def is_halted(self, release: Release) -> bool:
-        """Whether a halt is known here that nobody has resumed."""
+        """Whether a halt is known here that has not been resumed."""
         return self.cluster.is_halted(release)
 
     def reconcile(self) -> list[Effect]:
-        """Bring this proxy in line with the replicated state; what is to be done."""
+        """Bring this proxy in line with the replicated state; returns the effects to carry out."""
         self._reconcile_endpoints()
         self._reconcile_bundles()
         self._forget_ended_permits()
@@ -74,23 +74,24 @@
         bundles = self.replicated.state.bundles
         for digest, bundle in bundles.items():
             if digest not in self._bundle_checks:
-                self._bundle_checks[digest] = _UNKNOWN
+                self._bundle_checks[digest] = _CHECK_PENDING
                 self._effects.append(CheckBundle(digest, bundle))
-        self._bundle_checks = {d: why for d, why in self._bundle_checks.items() if d in bundles}
+        self._bundle_checks = {d: result for d, result in self._bundle_checks.items() if d in bundles}
 
     def _forget_ended_permits(self) -> None:
         permits = self.replicated.state.permits
         self._handled_permits &= permits.keys()
         self.completed = [n for n in self.completed if n in permits]
         self.unused = [n for n in self.unused if n in permits]
-        self.failed = {n: why for n, why in self.failed.items() if n in permits}
+        self.failed = {n: reason for n, reason in self.failed.items() if n in permits}
 
     def _handle_permit(self, permit_id: int) -> None:
-        """Handle a permit of ours that we have not used yet.
+        """Handle a permit of this proxy that has not been handled yet.
 
-        One for a later process is left to that process. If this process is later than the permit, or runs
-        its bundle already, the permit is reported as completed, once the bundle is in force and we serve. If
-        the release is over or halted the permit is given back unused. Otherwise it is executed.
+        A permit for a later process is left to that process. If this process started after the grant, or
+        already runs the bundle, the permit is reported as completed once the bundle is in effect and the
+        proxy serves. If the release is finished or halted, the permit is given back unused. Otherwise it is
+        executed.
         """
         permit = self.replicated.state.permits[permit_id]
         release = self.replicated.state.releases.get(permit.release_id)
@@ -114,7 +115,7 @@
         self._execute(ExecutePermit(permit_id, release.plan.kind, permit.digest, self._bundle(permit.digest)))
 
     def _restore_bundle(self) -> None:
-        """Take over the bundle that a restart undid, or that came about while this proxy was away."""
+        """Apply the bundle that a restart has undone, or that was released while this proxy was away."""
         digest = self.replicated.desired_digest(self.name)
         if digest not in self.failed_bundles and (not digest or digest in self.replicated.state.bundles):
             self._execute(ExecutePermit(0, ReleaseKind.SETTINGS, digest, self._bundle(digest)))
@@ -127,13 +128,13 @@
         self._effects.append(effect)
 
     def on_permit_executed(self, permit_id: int, digest: str, failure: str) -> None:
-        """What a permit allows is done, or could not be; this digest is in force now."""
+        """The execution of a permit has completed or failed; ``digest`` is that of the bundle in effect."""
         self.executing, self.digest = None, digest
         self.report_due = True
         if failure:
             self.failed_bundles.add(self.replicated.desired_digest(self.name))
             permit = self.replicated.permit_of(ResourceKind.PROXY, self.name)
-            # 0: a later process than the permit's took its bundle over.
+            # 0: the bundle was applied by a process that is later than the permit's.
             if permit is not None and permit_id in (0, permit.id):
                 self.failed[permit.id] = failure
                 self._handled_permits.add(permit.id)
@@ -141,6 +142,6 @@
             self.completed.append(permit_id)
 
     def on_bundle_checked(self, digest: str, failure: str) -> None:
-        """A bundle could be taken over, or why not."""
+        """A bundle check has completed; ``failure`` is why the bundle cannot be applied, or empty."""
         self._bundle_checks[digest] = failure[:CHECK_RESULT_MAX]
         self.report_due = True
--- a/arrowseam/rollouts/release_plan.py
+++ b/arrowseam/rollouts/release_plan.py
@@ -1,20 +1,20 @@
-"""How a release is planned: the name of its bundle and its waves."""
+"""Planning a release: the digest of its bundle, and its waves."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from hashlib import blake2b
 
-WAVE_SHARES = (0.05, 0.25)  # of all proxies, in the waves after the canary
+WAVE_SHARES = (0.05, 0.25)  # shares of all proxies in the two waves after the canary
 
 
 def bundle_digest(bundle: bytes) -> str:
-    """Names a bundle; empty for the settings of each proxy's own file."""
+    """The digest that identifies a bundle; empty for the settings of each proxy's own file."""
     return blake2b(bundle, digest_size=6).hexdigest() if bundle else ""
 
 
 def plan_waves(names: Iterable[str], zones: dict[str, str] | None = None) -> tuple[tuple[str, ...], ...]:
-    """One canary, a twentieth, a quarter, the rest; with ``zones`` a wave for each zone after the canary."""
+    """One canary, 5 %, 25 %, then the rest; with ``zones``, one wave for each zone after the canary."""
     rest = list(names)
     if not rest:
         return ()
--- a/arrowseam/rollouts/replicated_state.py
+++ b/arrowseam/rollouts/replicated_state.py
@@ -1,8 +1,8 @@
-"""The replicated state: what the committed commands add up to, one function a command.
+"""The replicated state machine: applies committed commands to ``State``, with one method for each command.
 
-It depends on nothing but the entries, so that it is the same wherever they have been applied. Times in them
-are for people and decide nothing. The texts of decisions are part of the state: proxies of two versions that
-word them differently would hold different states, so they stay as they are.
+The result depends only on the log entries, so all proxies that have applied the same entries hold the same
+state. Timestamps in commands are informational and decide nothing. Decision texts are part of the state: two
+versions that worded them differently would hold different states, so they must not change.
 """
 
 from __future__ import annotations
@@ -38,27 +38,27 @@
 from arrowseam.rollouts.release_plan import bundle_digest
 from arrowseam.rollouts.state import (
     Decision,
-    Member,
     MemberState,
     Permit,
     Release,
+    ReleaseMember,
     ReleaseState,
     State,
     decode_state,
 )
 
-HISTORY_MAX = 1000  # decisions that can be looked at
-APPLIED_IDS_MAX = 256  # ids of commands that are remembered, so that a repeated one changes nothing
-RELEASES_MAX = 20  # releases that are over and still shown
-REPEATED = "said already"  # the rejection of a command whose id was applied before
+HISTORY_MAX = 1000  # decisions kept for ``release log``
+APPLIED_IDS_MAX = 256  # command ids that are remembered, so that a repeated command changes nothing
+RELEASES_MAX = 20  # finished releases that are kept for display
+REPEATED = "said already"  # the rejection of a command whose id was already applied
 
 
 class CommandRejectedError(ArrowseamError):
-    """A command that changes nothing; the text says why."""
+    """A command was rejected and changes nothing; the message is the reason."""
 
 
 class ReplicatedState:
-    """Permits, drains, releases and bundles, as of the last entry applied."""
+    """Permits, drains, releases and bundles, as of the last applied entry."""
 
     def __init__(self) -> None:
         self.state = State()
@@ -80,42 +80,42 @@
 
     @property
     def index(self) -> int:
-        """Index of the last entry applied."""
+        """Index of the last applied entry."""
         return self.state.index
 
     def save(self) -> bytes:
-        """The encoded state, for a snapshot."""
+        """Encode the state for a snapshot."""
         return encoder.encode(self.state)
 
     def load(self, index: int, data: bytes) -> None:
-        """Replace the state by one that ``save`` gave, as of an index; no data: an empty one."""
+        """Replace the state with one from ``save``, as of ``index``; without data, with an empty one."""
         self.state = decode_state(data) if data else State()
         self.state.index = index
 
     # --- queries ------------------------------------------------------------------------------------------
 
     def out_by_plan(self, kind: ResourceKind) -> dict[str, Resource]:
-        """By name, those that hold a permit to be out."""
+        """The proxies or endpoints that hold a permit to be out, by name."""
         return {p.resource.name: p.resource for p in self.state.permits.values() if p.kind == kind}
 
     def permit_of(self, kind: ResourceKind, name: str) -> Permit | None:
-        """The permit of one proxy or endpoint."""
+        """The permit of one proxy or endpoint, if it holds one."""
         found = (p for p in self.state.permits.values() if p.kind == kind and p.resource.name == name)
         return next(found, None)
 
     @property
     def current_release(self) -> Release | None:
-        """The release that is not over; there is one at most."""
+        """The unfinished release; there is at most one."""
         return next((r for r in self.state.releases.values() if not r.is_over), None)
 
     def desired_digest(self, proxy: str) -> str:
-        """Of the bundle that a proxy is to run with; empty for its own file."""
+        """Digest of the bundle that a proxy is to run with; empty for its own settings file."""
         return self.state.desired_digests.get(proxy, "")
 
     # --- commands -----------------------------------------------------------------------------------------
 
     def apply(self, index: int, data: bytes) -> Decision | None:
-        """Apply one committed entry. None for a command of a later version, which all pass over alike."""
+        """Apply one committed entry. None for a command of a later version, which every proxy skips."""
         self.state.index = index
         command = decode_command(data)
         if command is None:
@@ -128,10 +128,10 @@
                 decision.text = self._handlers[type(command)](index, command)
             except CommandRejectedError as error:
                 decision.rejection = str(error)
-        self._remember(decision)
+        self._record_decision(decision)
         return decision
 
-    def _remember(self, decision: Decision) -> None:
+    def _record_decision(self, decision: Decision) -> None:
         if decision.id:
             self.state.applied_ids.append(decision.id)
             del self.state.applied_ids[:-APPLIED_IDS_MAX]
@@ -173,13 +173,13 @@
     # --- permits ------------------------------------------------------------------------------------------
 
     def _grant_permit(self, index: int, command: GrantPermit) -> str:
-        """Budgets are checked here again: since the leader observed what is out, they may have been lowered
-        and others have gone out."""
+        """Check the budgets again: since the leader proposed this grant, they may have been lowered and
+        others may have gone out."""
         state, kind, name = self.state, command.kind, command.resource.name
         if self.permit_of(kind, name) is not None:
             raise CommandRejectedError(f"{name} is out already")
         if kind == ResourceKind.PROXY:
-            self._check_release_grants(command)
+            self._check_release_allows(command)
         elif name not in state.drain_requests:
             raise CommandRejectedError(f"nobody wants {name} drained")
         former_digest = self.desired_digest(name) if kind == ResourceKind.PROXY else ""
@@ -195,18 +195,18 @@
         )  # fmt: skip
         state.granted_ms[kind] = command.at_ms
         if command.release_id:
-            self._note_member_out(command)
+            self._mark_member_out(command)
         return f"{kind} {name} may go out, {len(out)} are"
 
-    def _note_member_out(self, command: GrantPermit) -> None:
+    def _mark_member_out(self, command: GrantPermit) -> None:
         release, name = self.state.releases[command.release_id], command.resource.name
         member = release.members[name]
         member.state, member.attempts = MemberState.OUT, member.attempts + 1
         if release.plan.kind == ReleaseKind.SETTINGS:
             self.state.desired_digests[name] = command.digest
 
-    def _check_release_grants(self, command: GrantPermit) -> None:
-        """Raises CommandRejectedError where its release does not let a proxy go out."""
+    def _check_release_allows(self, command: GrantPermit) -> None:
+        """Raise CommandRejectedError unless the release allows this proxy to go out."""
         release, name = self.state.releases.get(command.release_id), command.resource.name
         if release is None or not release.is_active:
             raise CommandRejectedError(f"release {command.release_id} does not go on")
@@ -231,10 +231,10 @@
         del self.state.permits[command.permit_id]
         release = self.state.releases.get(permit.release_id)
         if release is not None and name in release.members:
-            settings = release.plan.kind == ReleaseKind.SETTINGS
-            went_back = settings and permit.digest == release.former_digests.get(name, "")
-            release.members[name].state = _state_after(outcome, went_back)
-            if settings and outcome in (PermitOutcome.UNUSED, PermitOutcome.FAILED):
+            is_settings = release.plan.kind == ReleaseKind.SETTINGS
+            was_rollback = is_settings and permit.digest == release.former_digests.get(name, "")
+            release.members[name].state = _member_state_after(outcome, was_rollback)
+            if is_settings and outcome in (PermitOutcome.UNUSED, PermitOutcome.FAILED):
                 self.state.desired_digests[name] = permit.former_digest
             self._finish_if_complete(release)
         return f"{name}: {outcome}{', ' + command.reason if command.reason else ''}"
@@ -258,51 +258,53 @@
             raise CommandRejectedError(f"all run with {digest} already")
         if command.bundle:
             self.state.bundles[digest] = command.bundle
-        members = {name: Member(MemberState.NEW if name in up_to_date else MemberState.OLD) for name in names}
+        members = {
+            name: ReleaseMember(MemberState.NEW if name in up_to_date else MemberState.OLD) for name in names
+        }
         self.state.releases[index] = Release(index, command, digest, former, members)
         self._discard_unused()
         waves = len(command.waves)
         return f"release {index}: {command.kind} {digest}, {len(names)} proxies in {waves} waves"
 
-    def _open_release(self, command: ReleaseStep) -> Release:
-        """The release that a command is about; raises CommandRejectedError where it is over."""
-        number = command.release_id
-        release = self.state.releases.get(number)
+    def _unfinished_release(self, command: ReleaseStep) -> Release:
+        """The release that a command refers to; raises CommandRejectedError if it is unknown or finished."""
+        release_id = command.release_id
+        release = self.state.releases.get(release_id)
         if release is None or release.is_over:
             raise CommandRejectedError(
-                f"release {number} is {'unknown' if release is None else release.state}"
+                f"release {release_id} is {'unknown' if release is None else release.state}"
             )
         return release
 
     def _start_release(self, _index: int, command: StartRelease) -> str:
-        release = self._open_release(command)
+        release = self._unfinished_release(command)
         if release.state != ReleaseState.PLANNED:
-            raise CommandRejectedError(_is_in_state(release))
+            raise CommandRejectedError(_state_text(release))
         release.state = ReleaseState.RUNNING
-        return _is_in_state(release)
+        return _state_text(release)
 
     def _advance_release(self, _index: int, command: AdvanceRelease) -> str:
-        release = self._open_release(command)
+        release = self._unfinished_release(command)
         if release.state != ReleaseState.RUNNING or command.waves_done != release.waves_done + 1:
-            raise CommandRejectedError(f"{_is_in_state(release)}, {release.waves_done} waves through")
+            raise CommandRejectedError(f"{_state_text(release)}, {release.waves_done} waves through")
         wave = release.plan.waves[release.waves_done]
         if any(release.members[name].state != MemberState.NEW for name in wave):
             raise CommandRejectedError("not all of the wave are through")
         release.waves_done += 1
         self._finish_if_complete(release)
-        return _is_in_state(release)
+        return _state_text(release)
 
     def _halt_release(self, _index: int, command: HaltRelease) -> str:
-        release = self._open_release(command)
+        release = self._unfinished_release(command)
         if not release.is_active:
-            raise CommandRejectedError(_is_in_state(release))
+            raise CommandRejectedError(_state_text(release))
         release.state, release.reason = ReleaseState.HALTED, command.reason
         return f"release {release.id}: {command.reason}"
 
     def _resume_release(self, _index: int, command: ResumeRelease) -> str:
-        release = self._open_release(command)
+        release = self._unfinished_release(command)
         if release.state != ReleaseState.HALTED:
-            raise CommandRejectedError(_is_in_state(release))
+            raise CommandRejectedError(_state_text(release))
         release.state = ReleaseState.ROLLING_BACK if release.rolling_back else ReleaseState.RUNNING
         release.reason = ""
         release.resumed_stamp, release.resumed_by = max(
@@ -310,11 +312,11 @@
         )
         for member in release.members.values():
             if member.state == MemberState.FAILED and not release.rolling_back:
-                member.state = MemberState.OLD  # another attempt
-        return _is_in_state(release)
+                member.state = MemberState.OLD  # to be tried again
+        return _state_text(release)
 
     def _roll_back_release(self, _index: int, command: RollBackRelease) -> str:
-        release = self._open_release(command)
+        release = self._unfinished_release(command)
         if release.plan.kind == ReleaseKind.RESTART:
             raise CommandRejectedError("a restart has nothing to go back to")
         if release.state == ReleaseState.PLANNED:
@@ -324,18 +326,18 @@
             if release.former_digests[name] == release.digest:  # it ran with this bundle before
                 member.state = MemberState.OLD
         self._finish_if_complete(release)
-        return _is_in_state(release)
+        return _state_text(release)
 
     def _cancel_release(self, _index: int, command: CancelRelease) -> str:
-        release = self._open_release(command)
+        release = self._unfinished_release(command)
         if release.is_active:
-            raise CommandRejectedError(f"{_is_in_state(release)}: halt it first")
+            raise CommandRejectedError(f"{_state_text(release)}: halt it first")
         release.state = ReleaseState.CANCELLED
         self._discard_unused()
-        return _is_in_state(release)
+        return _state_text(release)
 
     def _finish_if_complete(self, release: Release) -> None:
-        """End a release in which nobody is out and nothing is left to do."""
+        """End a release that has no outstanding permits and nothing left to do."""
         if any(p.release_id == release.id for p in self.state.permits.values()):
             return
         states = {member.state for member in release.members.values()}
@@ -347,11 +349,11 @@
             self._discard_unused()
 
     def _discard_unused(self) -> None:
-        """Drop bundles that nobody runs with or may go back to, and releases that ended long ago."""
+        """Drop bundles that no proxy runs with or may return to, and the oldest finished releases."""
         state = self.state
-        over = [r.id for r in state.releases.values() if r.is_over]
-        for number in over[:-RELEASES_MAX]:
-            del state.releases[number]
+        finished = [r.id for r in state.releases.values() if r.is_over]
+        for release_id in finished[:-RELEASES_MAX]:
+            del state.releases[release_id]
         used = set(state.desired_digests.values())
         for release in state.releases.values():
             if not release.is_over:
@@ -362,14 +364,15 @@
                 release.plan = msgspec.structs.replace(release.plan, bundle=b"")
 
 
-def _is_in_state(release: Release) -> str:
+def _state_text(release: Release) -> str:
     return f"release {release.id} is {release.state}"
 
 
-def _state_after(outcome: PermitOutcome, went_back: bool) -> MemberState:
-    """Of a member whose permit ended. What is not proven to be new is rolled back, if there is a way back."""
+def _member_state_after(outcome: PermitOutcome, was_rollback: bool) -> MemberState:
+    """The state of a member whose permit ended. Anything not proven counts as failed, so that a rollback
+    includes it."""
     if outcome == PermitOutcome.BACK:
-        return MemberState.OLD if went_back else MemberState.NEW
+        return MemberState.OLD if was_rollback else MemberState.NEW
     if outcome == PermitOutcome.UNUSED:
-        return MemberState.NEW if went_back else MemberState.OLD
+        return MemberState.NEW if was_rollback else MemberState.OLD
     return MemberState.FAILED
--- a/arrowseam/rollouts/restart.py
+++ b/arrowseam/rollouts/restart.py
@@ -1,4 +1,4 @@
-"""Starting another process of this proxy, which takes over from this one."""
+"""Starts another process of this proxy, which takes over from this one."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def own_command_line() -> list[str]:
-    """The command that this process was started by."""
+    """The command line that started this process."""
     return [sys.executable, "-m", "arrowseam", *sys.argv[1:]]
 
 
 def start_successor(command: list[str]) -> str:
-    """Start it; why not, or empty."""
+    """Start the process that takes over; returns why it cannot be started, or empty."""
     try:
         process = subprocess.Popen(
             command, env=worker_environment(), start_new_session=True, stdin=subprocess.DEVNULL
--- a/arrowseam/rollouts/runtime.py
+++ b/arrowseam/rollouts/runtime.py
@@ -1,7 +1,7 @@
-"""Rollouts of one proxy on its event loop: connects the agent to sockets, storage, settings and control.
+"""Runs a proxy's rollout agent on the event loop: connects it to sockets, storage, settings and control.
 
-Every decision is the agent's and its parts'. Serving never waits for it: with all voters gone, traffic goes
-on as before.
+All decisions are made by the agent and its components. Serving traffic never waits for them: with all voters
+gone, it continues unchanged.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 from arrowseam.rollouts.gates import Counters
 from arrowseam.rollouts.messages import Message, decode_message, encode_message
 from arrowseam.rollouts.observed import ClusterState
-from arrowseam.rollouts.operator_commands import NOT_BEGUN, Answer, OperatorCommands
+from arrowseam.rollouts.operator_commands import NOT_STARTED, Answer, OperatorCommands
 from arrowseam.rollouts.status_rows import Row, counter_lines, rollout_rows, unstarted_row
 from arrowseam.rollouts.storage_worker import StorageWorker
 from arrowseam.workers.process import WorkerEndedError
 
-NO_ROOM_FOR_HALT = "too many cordons and halts are known in the cluster: not announced"
+NO_ROOM_FOR_HALT = "halt not announced: the cluster holds too many cordons and halts"
 OBSERVE_INTERVAL = 200 * MS
-COMMAND_TIMEOUT = 5 * SECOND  # after which an operator hears that nothing was committed
+COMMAND_TIMEOUT = 5 * SECOND  # after which an operator is told that the command was not committed
 START_POLL_INTERVAL = 20 * MS
 APPLY_POLL_INTERVAL = 10 * MS
 
@@ -69,21 +69,26 @@
         membership: MembershipRuntime,
         settings: Agree,
         state_dir: str,
-        change: Callable[[bytes], str],
-        check: Callable[[bytes], str],
+        apply_bundle: Callable[[bytes], str],
+        check_bundle: Callable[[bytes], str],
         restart: Callable[[], str],
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
     ) -> None:
-        """``change`` takes over a bundle of settings (empty: the proxy's own file), ``check`` only looks
-        whether it could, ``restart`` starts another process of this proxy: each returns why not, or empty.
-        The agent begins once ``ready``: the process before this one has let go."""
+        """``apply_bundle`` applies a bundle of settings (empty: the proxy's own file), ``check_bundle`` only
+        checks whether it could be applied, ``restart`` starts another process of this proxy: each returns why
+        it failed, or empty. The agent starts once ``is_ready``: the previous process has let go."""
         self.loop, self.request_handler = loop, request_handler
         self.membership, self.settings = membership, settings
-        self.change, self.check, self.restart, self.ready = change, check, restart, ready
+        self.apply_bundle, self.check_bundle, self.restart, self.is_ready = (
+            apply_bundle,
+            check_bundle,
+            restart,
+            is_ready,
+        )
         self.state_dir = state_dir
         self.name = membership.config.name
         self.agent: Agent | None = None
-        self.figures: Counter[str] = Counter()
+        self.transport_counters: Counter[str] = Counter()
         self.storage_error = ""
         self._commands = OperatorCommands(self)
         self._addresses = {name: parse_address(text) for name, text in settings.voters.items()}
@@ -98,7 +103,7 @@
     # --- lifetime -----------------------------------------------------------------------------------------
 
     def _run(self) -> Coroutine[None]:
-        while not self.ready() or self.membership.peers is None:
+        while not self.is_ready() or self.membership.peers is None:
             if self._stopped:
                 return
             pause = clock() + START_POLL_INTERVAL
@@ -120,8 +125,8 @@
             yield min(agent.next_timer, observed_at + OBSERVE_INTERVAL)
 
     def _load_state(self) -> Coroutine[tuple[bool, Checkpoint | None]]:
-        """Whether this proxy may vote, and its state as a voter. A state that cannot be read may hold a vote:
-        without it this proxy must not vote under its name."""
+        """Whether this proxy may vote, and its stored voter state. A state that cannot be read may contain a
+        vote: without it this proxy must not vote under its name."""
         if self.name not in self.settings.voters:
             return False, None
         if not self.state_dir:
@@ -133,7 +138,7 @@
             if not isinstance(error, WorkerEndedError):
                 self._worker = None
             self.storage_error = str(error)
-            text = f"agree: the state is not taken, no vote from here: {error}"
+            text = f"agree: voter state cannot be loaded, this proxy does not vote: {error}"
             log("rollouts.storage_failed", text, "error")
             return False, None
 
@@ -164,7 +169,7 @@
         self.loop.wake(self._task)
 
     def update_settings(self, settings: Agree) -> None:
-        """The operator file sets other budgets, or other voters."""
+        """Apply changed budgets or voters from the operator file."""
         agent, former = self.agent, self.settings
         self.settings = settings
         self._addresses |= {name: parse_address(text) for name, text in settings.voters.items()}
@@ -172,7 +177,7 @@
             return
         voters = tuple(settings.voters)
         if agent.node is None and self.name in voters:
-            log("rollouts.restart_needed", "agree: to be a voter takes a restart", "warning")
+            log("rollouts.restart_needed", "agree: becomes a voter only after a restart", "warning")
             voters = tuple(name for name in voters if name != self.name)
         agent.settings = replace(agent.settings, budgets=settings.budgets, voters=voters)
         if agent.node is not None:
@@ -183,16 +188,16 @@
     # --- messages -----------------------------------------------------------------------------------------
 
     def _on_frame(self, data: bytes) -> bool:
-        """Take a frame that came to the membership's sockets; False if it is not of ours."""
+        """Handle a frame that arrived on the membership's sockets; False if it is not a rollout frame."""
         if data[: len(framing.MAGIC)] != framing.MAGIC:
             return False
         if self.agent is not None and not self._stopped:
             try:
                 message = decode_message(data, self.membership.fleet.name)
             except framing.FrameError:
-                self.figures["junk"] += 1
+                self.transport_counters["junk"] += 1
                 return True
-            self.figures["messages_in"] += 1
+            self.transport_counters["messages_in"] += 1
             self._execute(self.agent.on_message(clock(), unix_ms(), message))
         return True
 
@@ -201,11 +206,11 @@
         record = self.membership.view.records.get(to)
         address = self._addresses.get(to) or (record.address if record is not None else None)
         if peers is None or address is None:
-            self.figures["unsent"] += 1
+            self.transport_counters["unsent"] += 1
             return
         data = encode_message(self.membership.fleet.name, message)
-        self.figures["messages_out"] += 1
-        self.figures["bytes_out"] += len(data)
+        self.transport_counters["messages_out"] += 1
+        self.transport_counters["bytes_out"] += len(data)
         if len(data) <= framing.DATAGRAM_MAX:
             peers.send(address, data)
         else:
@@ -240,7 +245,7 @@
                 log(event, f"agree: {text}", level)
 
     def _announce_halt(self, release_id: int) -> None:
-        """Spread a halt; one that was resumed does not bind, and is announced anew."""
+        """Announce a halt through gossip; one that was resumed no longer holds and is announced anew."""
         agent = self.agent
         release = agent.replicated.state.releases.get(release_id) if agent is not None else None
         is_halted = release is not None and agent is not None and agent.holder.is_halted(release)
@@ -250,7 +255,7 @@
         if self._worker is not None:
             self._worker.store(effect, self._on_records_stored, self._on_storage_failed)
             return
-        # Without a state directory the state ends with the process: nothing is to be stored.
+        # Without a state directory the state ends with the process, and there is nothing to store.
         self._on_records_stored(effect.token)
 
     def _on_records_stored(self, token: int) -> None:
@@ -263,9 +268,9 @@
             self._execute(self.agent.on_storage_failed(clock(), unix_ms(), reason))
 
     def _cordon(self, endpoint: str, out: bool) -> None:
-        text = f"agree: {endpoint} {'is out' if out else 'is back'}"
+        text = f"agree: {endpoint} {'is out by plan' if out else 'is no longer out by plan'}"
         log("rollouts.endpoint_out", text, server=endpoint, out=out)
-        if out or endpoint not in self.membership.view.cordons.cordoned():  # an operator's own cordon stays
+        if out or endpoint not in self.membership.view.cordons.cordoned():  # an operator's cordon stays
             self.request_handler.driver.cordon_by_name(endpoint, out)
 
     def _on_command_result(self, result: CommandResult) -> None:
@@ -285,14 +290,14 @@
             if not failure:
                 return  # the process that takes over reports the permit as completed
         else:
-            failure = self.change(effect.bundle)
+            failure = self.apply_bundle(effect.bundle)
             digest = agent.holder.digest if failure else effect.digest
         self._execute(agent.on_permit_executed(clock(), unix_ms(), effect.permit_id, digest, failure))
 
     def _check_bundle(self, digest: str, bundle: bytes) -> Coroutine[None]:
         yield from self.loop.yield_turn()
         if self.agent is not None and not self._stopped:
-            failure = self.check(bundle)
+            failure = self.check_bundle(bundle)
             self._execute(self.agent.on_bundle_checked(clock(), unix_ms(), digest, failure))
 
     # --- observations -------------------------------------------------------------------------------------
@@ -309,13 +314,13 @@
 
     def _is_serving(self) -> bool:
         handler = self.request_handler
-        return bool(handler.driver.endpoint_count) and not handler.is_draining and self.ready()
+        return bool(handler.driver.endpoint_count) and not handler.is_draining and self.is_ready()
 
     def _counters(self) -> Counters:
         statistics = self.request_handler.statistics
         total: Counter[str] = Counter()
-        for (_, how), count in statistics.answers.items():
-            total[how] += count
+        for (_, outcome), count in statistics.answers.items():
+            total[outcome] += count
         return Counters(
             setups=total["success"] + total["overload"] + total["error"],
             failed=total["error"],
@@ -332,7 +337,7 @@
         return observe_cluster(self.membership, self.request_handler, out_by_plan, clock())
 
     def _connections_to(self, endpoint: str) -> int:
-        """Set-ups under way included; one more while the other process of a hot restart may hold some."""
+        """Includes set-ups in progress; one more while the other process of a hot restart may hold some."""
         return self.request_handler.driver.connection_and_attempt_count(endpoint) + bool(
             self.loop.held_by_peer_process
         )
@@ -340,40 +345,40 @@
     # --- operators ----------------------------------------------------------------------------------------
 
     def run_command(self, words: list[str], body: bytes) -> Coroutine[Answer]:
-        """One line of control: whether it was done, and a text for the operator."""
+        """Run one control line; returns whether it succeeded, and a text for the operator."""
         return (yield from self._commands.run(words, body))
 
     def submit(self, command: Command) -> Coroutine[Answer]:
-        """Have a command committed and wait for its result."""
+        """Submit a command to the log and wait for its result."""
         agent = self.agent
         if agent is None:
-            return False, NOT_BEGUN
-        number, effects = agent.submit(clock(), unix_ms(), command)
-        self._waiting[number] = self.loop.current_task
+            return False, NOT_STARTED
+        command_id, effects = agent.submit(clock(), unix_ms(), command)
+        self._waiting[command_id] = self.loop.current_task
         try:
             self._execute(effects)
-            due = clock() + COMMAND_TIMEOUT
-            while number not in self._results and clock() < due:
-                yield due
-            result = self._results.pop(number, None)
-            # An operator who hears that it is done may go on at this proxy, whose own state must have it.
-            while result is not None and agent.replicated.index < result.index and clock() < due:
+            deadline = clock() + COMMAND_TIMEOUT
+            while command_id not in self._results and clock() < deadline:
+                yield deadline
+            result = self._results.pop(command_id, None)
+            # After a success the operator may send the next command here, so this proxy must have applied it.
+            while result is not None and agent.replicated.index < result.index and clock() < deadline:
                 if self._stopped:
                     break
-                yield min(due, clock() + APPLY_POLL_INTERVAL)
+                yield min(deadline, clock() + APPLY_POLL_INTERVAL)
             if result is not None and (result.text or result.rejection):
                 return not result.rejection, result.rejection or result.text
             leader, seconds = agent.leader_name or "none", COMMAND_TIMEOUT // SECOND
-            return False, f"not agreed in {seconds} s (leader: {leader}); it may still come about"
+            return False, f"not agreed within {seconds} s (leader: {leader}); it may still take effect"
         finally:
-            self._waiting.pop(number, None)
-            agent.forget_command(number)
+            self._waiting.pop(command_id, None)
+            agent.forget_command(command_id)
 
     def announce_halt(self, release_id: int) -> str:
-        """Halt a release here and by gossip; why not, or empty."""
+        """Halt a release here and by gossip; returns why it cannot be announced, or empty."""
         agent = self.agent
         if agent is None:
-            return NOT_BEGUN
+            return NOT_STARTED
         if not self.membership.can_cordon(f"{HALT_PREFIX}{release_id}"):
             return NO_ROOM_FOR_HALT
         self._execute(agent.announce_halt(clock(), unix_ms(), release_id))
@@ -381,34 +386,34 @@
         return ""
 
     def begin_epoch(self) -> str:
-        """Begin a new history with the state that is held here; why not, or empty."""
+        """Start a new epoch from the state of this proxy; returns why it cannot, or empty."""
         if self.agent is None:
-            return NOT_BEGUN
+            return NOT_STARTED
         reason, effects = self.agent.begin_epoch(clock(), unix_ms())
         self._execute(effects)
         return reason
 
     def is_out_by_plan(self, endpoint: str) -> bool:
-        """Whether an endpoint is out here by a permit."""
+        """Whether an endpoint is out on this proxy because of a permit."""
         return self.agent is not None and endpoint in self.agent.holder.endpoints_out
 
     def status_rows(self) -> Iterator[Row]:
-        """What ``agree`` shows, a JSON object a row."""
+        """The rows of the ``agree`` command, one JSON object each."""
         if self.agent is None:
             return iter([unstarted_row(self.name, self.storage_error)])
         return rollout_rows(self.agent, self.storage_error, clock())
 
     def decision_rows(self) -> Iterator[Row]:
-        """What ``release log`` shows."""
+        """The rows of the ``release log`` command."""
         if self.agent is not None:
             for decision in self.agent.replicated.state.history:
                 yield decision.row()
 
     def counter_lines(self) -> Iterator[str]:
-        """Figures in the statsd form."""
+        """Gauges and counters in the statsd format."""
         if self.agent is not None:
-            yield from counter_lines(self.agent, self.figures)
+            yield from counter_lines(self.agent, self.transport_counters)
 
 
-def _ignore_answer(_how: object, _answer: bytes) -> None:
-    """Replies come as messages of their own."""
+def _ignore_answer(_outcome: object, _answer: bytes) -> None:
+    """Replies arrive as separate messages."""
--- a/arrowseam/rollouts/state.py
+++ b/arrowseam/rollouts/state.py
@@ -1,6 +1,7 @@
 """The records that make up the replicated state, and its encoded form.
 
-As in ``commands``, the order of fields is the format of snapshots and state files.
+As in ``commands``, structs are encoded as arrays: the order of fields is the format of snapshots and state
+files.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class MemberState(StrEnum):
-    """Where a proxy stands in a release."""
+    """The state of a proxy in a release."""
 
     OLD = "old"
     OUT = "out"
@@ -24,7 +25,7 @@
 
 
 class ReleaseState(StrEnum):
-    """Where a release stands."""
+    """The state of a release."""
 
     PLANNED = "planned"
     RUNNING = "running"
@@ -35,74 +36,75 @@
     CANCELLED = "cancelled"
 
 
-ACTIVE_STATES = (ReleaseState.RUNNING, ReleaseState.ROLLING_BACK)  # permits are granted
-OVER = (ReleaseState.DONE, ReleaseState.ROLLED_BACK, ReleaseState.CANCELLED)
+ACTIVE_STATES = (ReleaseState.RUNNING, ReleaseState.ROLLING_BACK)  # permits are granted in these
+FINAL_STATES = (ReleaseState.DONE, ReleaseState.ROLLED_BACK, ReleaseState.CANCELLED)
 
 
 class Permit(msgspec.Struct, array_like=True):
-    """A proxy or an endpoint may be out; its id is the index of the entry that granted it."""
+    """Allows a proxy or an endpoint to be out; its id is the index of the log entry that granted it."""
 
     id: int
     kind: ResourceKind
     resource: Resource
-    started_at: int  # of the proxy's process that it was granted to
-    release_id: int  # 0: a drain
+    started_at: int  # of the proxy process that it was granted to
+    release_id: int  # 0 for a drain
     digest: str  # of the bundle that the proxy is to run with
-    former_digest: str  # of the one that it ran with
+    former_digest: str  # of the bundle that it ran with before
     at_ms: int
-    drained: bool = False  # an endpoint that nobody holds a connection to
+    drained: bool = False  # for endpoints: no proxy holds a connection to it
 
 
-class Member(msgspec.Struct, array_like=True):
-    """One proxy's part in a release."""
+class ReleaseMember(msgspec.Struct, array_like=True):
+    """The progress of one proxy in a release."""
 
     state: MemberState = MemberState.OLD
     attempts: int = 0
 
 
 class Release(msgspec.Struct, array_like=True):
-    """A release; its id is the index of the entry that planned it."""
+    """A release; its id is the index of the log entry that planned it."""
 
     id: int
     plan: PlanRelease
-    digest: str  # of its bundle; empty of a restart
-    former_digests: dict[str, str]  # what each proxy ran with before
-    members: dict[str, Member]
+    digest: str  # of its bundle; empty for a restart
+    former_digests: dict[str, str]  # by proxy: of the bundle that it ran with before
+    members: dict[str, ReleaseMember]
     state: ReleaseState = ReleaseState.PLANNED
-    rolling_back: bool = False  # also while it is halted on the way back
+    rolling_back: bool = False  # also while a rollback is halted
     waves_done: int = 0
-    reason: str = ""  # of its halt
-    resumed_stamp: int = 0  # halts up to this stamp
-    resumed_by: str = ""  # and proxy have been resumed
+    reason: str = ""  # why it was halted
+    # The latest halt that was resumed: this one and earlier ones no longer apply.
+    resumed_stamp: int = 0
+    resumed_by: str = ""  # the proxy that announced it
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more happens in it."""
-        return self.state in OVER
+        """Whether the release has ended."""
+        return self.state in FINAL_STATES
 
     @property
     def is_active(self) -> bool:
-        """Whether permits are granted in it."""
+        """Whether permits are granted for the release."""
         return self.state in ACTIVE_STATES
 
     def digest_for(self, name: str) -> str:
-        """Of the bundle that a proxy is to run with, on the way that the release is on."""
+        """Digest of the bundle that a proxy is to get, by whether the release is being rolled back."""
         return self.former_digests.get(name, "") if self.rolling_back else self.digest
 
 
 class Decision(msgspec.Struct, array_like=True):
-    """What came of one command."""
+    """The outcome of one command."""
 
     index: int
     at_ms: int
     by: str
-    command: str  # its decision_name
+    command: str  # its ``decision_name``
     text: str
-    rejection: str  # empty if it was carried out
+    rejection: str  # why it was rejected; empty if it was carried out
     id: int = 0
 
     def row(self) -> dict[str, int | str]:
-        """As control shows it."""
+        """The row that control shows."""
         return {
             "index": self.index,
             "at_ms": self.at_ms,
@@ -114,14 +116,14 @@
 
 
 class State(msgspec.Struct, array_like=True):
-    """All that the replicated state remembers."""
+    """The contents of the replicated state."""
 
-    index: int = 0  # of the last entry applied
+    index: int = 0  # of the last applied entry
     budgets: dict[str, DisruptionBudgets] = {}  # by voter
-    drain_requests: dict[str, Drain] = {}  # by endpoint, in the order of their entries
+    drain_requests: dict[str, Drain] = {}  # by endpoint, in log order
     permits: dict[int, Permit] = {}
     releases: dict[int, Release] = {}
-    desired_digests: dict[str, str] = {}  # by proxy: the bundle that it is to run with
+    desired_digests: dict[str, str] = {}  # by proxy: of the bundle that it is to run with
     bundles: dict[str, bytes] = {}  # by digest
     applied_ids: list[int] = []
     history: list[Decision] = []
@@ -132,5 +134,5 @@
 
 
 def decode_state(data: bytes) -> State:
-    """The state of a snapshot; raises msgspec.DecodeError."""
+    """Decode the state of a snapshot; raises msgspec.DecodeError."""
     return _decoder.decode(data)
--- a/arrowseam/rollouts/status_board.py
+++ b/arrowseam/rollouts/status_board.py
@@ -1,4 +1,4 @@
-"""The last status of each proxy, as it was reported here."""
+"""The last status that each proxy has reported to this one."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 from arrowseam.rollouts.messages import ProxyStatus
 
 SECOND = 1_000_000  # microseconds
-STATUS_MAX_AGE = 3 * SECOND  # an older status report counts as none
+STATUS_MAX_AGE = 3 * SECOND  # older status reports are ignored
 
 
 class StatusBoard:
-    """Reports by proxy; times in microseconds of the monotonic clock."""
+    """Status reports by proxy; times are in microseconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, tuple[int, ProxyStatus]] = {}  # proxy -> when it came, and the status
+        self.reports: dict[str, tuple[int, ProxyStatus]] = {}  # proxy -> time of arrival, status
         self.history = CounterHistory()
 
     def record(self, now: int, status: ProxyStatus) -> None:
-        """Take in a report."""
+        """Store a report."""
         self.reports[status.name] = now, status
         self.history.record(now // SECOND, status.name, status.started_at, status.counters)
 
     def is_outdated(self, status: ProxyStatus) -> bool:
-        """Whether a status was overtaken by a later one on its way."""
-        held = self.reports.get(status.name)
-        if held is None:
+        """Whether a later status has arrived before this one."""
+        report = self.reports.get(status.name)
+        if report is None:
             return False
-        known = held[1]
-        if known.started_at != status.started_at:
-            return known.started_at > status.started_at
-        return known.applied_index > status.applied_index
+        stored = report[1]
+        if stored.started_at != status.started_at:
+            return stored.started_at > status.started_at
+        return stored.applied_index > status.applied_index
 
     def recent(self, now: int) -> list[str]:
-        """Proxies that have reported lately."""
+        """Proxies with a recent report."""
         return [name for name, (at, _) in self.reports.items() if now - at < STATUS_MAX_AGE]
 
     def applied_index(self, proxy: str) -> int:
-        """The last entry that a proxy has reported as applied; raises KeyError."""
+        """Index of the last entry that a proxy has reported as applied; raises KeyError."""
         return self.reports[proxy][1].applied_index
--- a/arrowseam/rollouts/status_rows.py
+++ b/arrowseam/rollouts/status_rows.py
@@ -1,6 +1,6 @@
-"""What control shows of rollouts: rows that become JSON objects, and lines of figures.
+"""What control shows of rollouts: rows, which become JSON objects, and counters in the statsd format.
 
-Their keys and names are an interface for operators' tools: they stay when names in the code change.
+Their keys and names are an interface for operators' tools and stay when names in the code change.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from arrowseam.rollouts.state import Permit, Release, ReleaseState
 from arrowseam.rollouts.status_board import STATUS_MAX_AGE
 
-COUNTED = ("messages_in", "messages_out", "bytes_out", "junk", "unsent")
+TRANSPORT_COUNTERS = ("messages_in", "messages_out", "bytes_out", "junk", "unsent")
 
 Row = dict[str, Any]
 
 
-def rollout_rows(agent: Agent, broken: str, now: int) -> Iterator[Row]:
-    """This proxy, the budgets, the drains that wait, permits and releases; ``now`` on the monotonic clock."""
+def rollout_rows(agent: Agent, storage_error: str, now: int) -> Iterator[Row]:
+    """This proxy, budgets, waiting drains, permits and releases; ``now`` is of the monotonic clock."""
     replicated = agent.replicated
-    yield _agent_row(agent, broken)
+    yield _agent_row(agent, storage_error)
     for voter, budgets in sorted(replicated.state.budgets.items()):
         yield {"budgets": voter} | {f: getattr(budgets, f) for f in budgets.__struct_fields__}
     for endpoint in replicated.state.drain_requests:
@@ -32,7 +32,7 @@
         yield release_row(release, agent.holder.is_halted(release) and not release.is_over)
 
 
-def _agent_row(agent: Agent, broken: str) -> Row:
+def _agent_row(agent: Agent, storage_error: str) -> Row:
     node, controller = agent.node, agent.controller
     return {
         "name": agent.name,
@@ -40,37 +40,37 @@
         "leader": agent.leader_name,
         "term": node.term if node is not None else 0,
         "epoch": agent.epoch.number,
-        "reign": agent.epoch.number,  # its name until 0.1
+        "reign": agent.epoch.number,  # the name of ``epoch`` until 0.1
         "index": agent.replicated.index,
         "voters": [v.name for v in node.voters] if node is not None else [],
         "wanted": list(agent.settings.voters),
         "digest": agent.holder.digest,
         "waits_for": controller.reason if controller is not None else "",
-        "broken": broken,
+        "broken": storage_error,
     }
 
 
 def _permit_row(agent: Agent, permit: Permit, now: int) -> Row:
-    endpoint = permit.resource.name
+    name = permit.resource.name
     row: Row = {
         "permit": permit.id,
         "what": permit.kind,
-        "name": endpoint,
+        "name": name,
         "release": permit.release_id,
         "at_ms": permit.at_ms,
         "safe": permit.drained,
     }
     if permit.kind == ResourceKind.ENDPOINT and agent.is_leader:
         row["holds"] = {
-            name: status.connections.get(endpoint, -1)
-            for name, (at, status) in agent.status_board.reports.items()
-            if status.connections.get(endpoint, -1) and now - at < STATUS_MAX_AGE
+            proxy: status.connections.get(name, -1)
+            for proxy, (at, status) in agent.status_board.reports.items()
+            if status.connections.get(name, -1) and now - at < STATUS_MAX_AGE
         }
     return row
 
 
 def release_row(release: Release, halt_announced: bool) -> Row:
-    """One release."""
+    """The row of one release."""
     return {
         "release": release.id,
         "kind": release.plan.kind,
@@ -85,18 +85,18 @@
     }
 
 
-def counter_lines(agent: Agent, figures: Mapping[str, int]) -> Iterator[str]:
-    """Figures in the statsd form."""
+def counter_lines(agent: Agent, transport_counters: Mapping[str, int]) -> Iterator[str]:
+    """Gauges and counters in the statsd format."""
     node, replicated = agent.node, agent.replicated
     yield f"edge.agree.index:{replicated.index}|g"
     yield f"edge.agree.term:{node.term if node is not None else 0}|g"
     yield f"edge.agree.leads:{int(agent.is_leader)}|g"
     yield f"edge.agree.out_proxies:{len(replicated.out_by_plan(ResourceKind.PROXY))}|g"
     yield f"edge.agree.out_servers:{len(replicated.out_by_plan(ResourceKind.ENDPOINT))}|g"
-    for name in COUNTED:
-        yield f"edge.agree.{name}:{figures[name]}|c"
+    for name in TRANSPORT_COUNTERS:
+        yield f"edge.agree.{name}:{transport_counters[name]}|c"
 
 
-def unstarted_row(name: str, broken: str) -> Row:
-    """A proxy whose agent has not begun."""
-    return {"name": name, "role": "not begun", "broken": broken}
+def unstarted_row(name: str, storage_error: str) -> Row:
+    """The row of a proxy whose agent has not started."""
+    return {"name": name, "role": "not begun", "broken": storage_error}
--- a/arrowseam/rollouts/storage_worker.py
+++ b/arrowseam/rollouts/storage_worker.py
@@ -19,19 +19,19 @@
 from arrowseam.workers.process import WorkerEndedError, WorkerProcess
 
 ANSWER_TIMEOUT = 10 * SECOND
-LOCK_TIMEOUT = 3600 * SECOND  # the process before this one may hold the file until its last connection ends
+LOCK_TIMEOUT = 3600 * SECOND  # the previous process may hold the file until its last connection ends
 _checkpoint_decoder: msgspec.msgpack.Decoder[Checkpoint] = msgspec.msgpack.Decoder(Checkpoint)
 
 
 class StateRefusedError(ArrowseamError, ValueError):
-    """The worker does not take the stored state; the text is its reason."""
+    """The worker refuses the stored state; the message is the reason."""
 
 
 class StorageWorker:
-    """Stores records in order; all that have gathered meanwhile go in one write."""
+    """Stores records in order; those that are queued during a write go into the next one together."""
 
     def __init__(self, loop: EventLoop, path: Path) -> None:
-        """Starts the worker; raises OSError."""
+        """Start the worker; raises OSError."""
         self._loop = loop
         self._worker = WorkerProcess(loop, "arrowseam.consensus.worker", argument=str(path))
         self._queue: deque[Persist] = deque()
@@ -39,7 +39,8 @@
         self._closed = False
 
     def load(self) -> Coroutine[Checkpoint | None]:
-        """The state of an earlier process, None without one; raises WorkerEndedError or StateRefusedError."""
+        """Load the state of an earlier process, None if there is none; raises WorkerEndedError or
+        StateRefusedError."""
         yield from self._worker.send_line(b"{}\n", clock() + ANSWER_TIMEOUT)
         answer = json.loads((yield from self._worker.receive_line(clock() + LOCK_TIMEOUT)))
         if "unfit" in answer:
@@ -50,8 +51,8 @@
     def store(
         self, persist: Persist, on_stored: Callable[[int], None], on_failed: Callable[[str], None]
     ) -> None:
-        """Queue a write; ``on_stored`` is called with the last token of each write that is durable,
-        ``on_failed`` once, after which nothing more is stored."""
+        """Queue a write. ``on_stored`` is called with the last token of each durable write, ``on_failed`` at
+        most once, after which nothing more is stored."""
         self._queue.append(persist)
         if self._task is None:
             self._task = self._loop.start_task(self._write(on_stored, on_failed), "agreement's state")
@@ -79,6 +80,6 @@
             on_failed(str(error))
 
     def close(self) -> None:
-        """Store nothing more; the worker ends once it has done what it was asked."""
+        """Store nothing more; the worker ends when its pending requests are done."""
         self._closed = True
         self._worker.finish()
--- a/tests/test_full_cordon_set.py
+++ b/tests/test_full_cordon_set.py
@@ -1,4 +1,4 @@
-"""A set of cordons that is full: what is not replicated is not answered ACK."""
+"""A full cordon set: a cordon or halt that cannot be replicated is not acknowledged."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class FullMembership:
-    """What control and the rollouts ask of the membership; ``told`` is what it would replicate."""
+    """A stand-in for the membership as control and rollouts use it; ``replicated`` records its cordons."""
 
     def __init__(self) -> None:
-        self.cordons, self.told = full_set(), []
+        self.cordons, self.replicated = full_set(), []
 
     def can_cordon(self, endpoint: str) -> bool:
         return self.cordons.has_room_for(endpoint)
 
     def set_cordon(self, endpoint: str, cordoned: bool) -> None:
-        self.told.append((endpoint, cordoned))
+        self.replicated.append((endpoint, cordoned))
 
 
-def test_a_full_set_takes_marks_and_what_it_knows() -> None:
+def test_a_full_set_accepts_halt_marks_and_updates_of_known_entries() -> None:
     cordons = full_set()
     assert len(cordons.by_endpoint) == CORDONS_MAX - MARKS_RESERVED
     assert cordons.set_locally("one more", True, "m1", 2_000) is None
@@ -41,21 +41,21 @@
     assert cordons.merge(Cordon("of another", 3_000, "m2")) is None
 
 
-def test_control_answers_a_cordon_that_would_not_be_replicated_nak() -> None:
-    """At 4,096 cordons one more was answered ACK, and held at this proxy only."""
+def test_control_answers_nak_to_a_cordon_that_would_not_be_replicated() -> None:
+    """With 4,096 cordons in the set, one more was answered ACK but took effect on this proxy only."""
     world = World("lines", "up")
     world.proxy.control.membership = membership = FullMembership()
     assert world.control(b"cordon s0\n") == b"NAK too many cordons are known in the cluster\n"
     assert not world.driver.cordoned
-    assert membership.told == []
+    assert membership.replicated == []
     membership.cordons = CordonSet()
     assert world.control(b"cordon s0\n") == b"ACK\n"
-    assert membership.told == [("s0", True)]
+    assert membership.replicated == [("s0", True)]
     world.close()
 
 
-def test_a_halt_that_cannot_be_announced_says_so() -> None:
-    """A halt was answered ACK though its mark was not taken."""
+def test_a_halt_that_cannot_be_announced_is_rejected() -> None:
+    """A halt was answered ACK although the full set had not accepted its mark."""
     runtime = RolloutRuntime.__new__(RolloutRuntime)
     runtime.agent, runtime.membership = object(), FullMembership()
     for n in range(MARKS_RESERVED):
--- a/tests/test_wire_bytes_rollouts.py
+++ b/tests/test_wire_bytes_rollouts.py
@@ -1,5 +1,5 @@
-"""Bytes and tables of the version before (``data/wire/make_rollouts.py`` made them): they are read, and
-written again to the last byte."""
+"""Compatibility with the previous version: its encoded bytes and tables, made by
+``data/wire/make_rollouts.py``, are decoded and encoded again to identical bytes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from arrowseam.rollouts.replicated_state import ReplicatedState
 from arrowseam.rollouts.runtime import RolloutRuntime
 
-OLD: dict[str, Any] = json.loads((Path(__file__).parent / "data/wire/rollouts.json").read_text())
+PREVIOUS: dict[str, Any] = json.loads((Path(__file__).parent / "data/wire/rollouts.json").read_text())
 VOTERS = (Voter("a", 11), Voter("b", 22), Voter("c", 33))
 BUDGETS = DisruptionBudgets(2, 0.5, 1, 0.25, 3, 0.4, 1.5)
 
@@ -39,82 +39,85 @@
     return encoder.encode(value)
 
 
-@pytest.mark.parametrize("kind", OLD["messages"])
-def test_a_message_is_read_and_written_the_same(kind: str) -> None:
-    data = bytes.fromhex(OLD["messages"][kind])
+@pytest.mark.parametrize("kind", PREVIOUS["messages"])
+def test_a_message_is_decoded_and_encoded_unchanged(kind: str) -> None:
+    data = bytes.fromhex(PREVIOUS["messages"][kind])
     message = decode_message(data, "fleet-1")
     assert encode_message("fleet-1", message) == data
 
 
-def test_each_kind_of_message_is_there() -> None:
-    found = {type(decode_message(bytes.fromhex(data), "fleet-1")) for data in OLD["messages"].values()}
-    assert len(found) == 10
+def test_every_message_type_is_covered() -> None:
+    types = {type(decode_message(bytes.fromhex(data), "fleet-1")) for data in PREVIOUS["messages"].values()}
+    assert len(types) == 10
 
 
-def test_entries_and_voters_are_read_and_written_the_same() -> None:
-    for data in map(bytes.fromhex, OLD["entries"]):
+def test_entries_and_voters_are_decoded_and_encoded_unchanged() -> None:
+    for data in map(bytes.fromhex, PREVIOUS["entries"]):
         assert encoded(msgspec.msgpack.decode(data, type=Entry)) == data
-    old = [msgspec.msgpack.decode(bytes.fromhex(data), type=Entry) for data in OLD["entries"]]
-    assert [entry.kind for entry in old] == [
+    entries = [msgspec.msgpack.decode(bytes.fromhex(data), type=Entry) for data in PREVIOUS["entries"]]
+    assert [entry.kind for entry in entries] == [
         EntryKind.NOOP,
         EntryKind.VOTERS,
         EntryKind.COMMAND,
     ]
-    assert decode_voters(old[1]) == VOTERS
-    assert encode_voters(VOTERS).hex() == OLD["voters"]
+    assert decode_voters(entries[1]) == VOTERS
+    assert encode_voters(VOTERS).hex() == PREVIOUS["voters"]
 
 
-@pytest.mark.parametrize("kind", OLD["records"])
-def test_a_stored_record_is_read_and_written_the_same(kind: str) -> None:
-    data = bytes.fromhex(OLD["records"][kind])
+@pytest.mark.parametrize("kind", PREVIOUS["records"])
+def test_a_stored_record_is_decoded_and_encoded_unchanged(kind: str) -> None:
+    data = bytes.fromhex(PREVIOUS["records"][kind])
     records, end = storage.decode_file(storage.HEADER + data)
     assert end == len(storage.HEADER) + len(data)
     assert storage.encode_records(records) == data
 
 
-def test_a_stored_state_of_the_version_before_is_loaded_and_goes_on(tmp_path: Path) -> None:
-    """A proxy is brought up to this version: what its voter had stored is its state still."""
+def test_a_state_file_of_the_previous_version_is_loaded_unchanged(tmp_path: Path) -> None:
+    """After a proxy is upgraded to this version, the state that its voter had stored is still valid."""
     path = storage.state_file_path(str(tmp_path), "a")
-    assert path.name == OLD["file name"]
-    path.write_bytes(bytes.fromhex(OLD["file"]))
+    assert path.name == PREVIOUS["file name"]
+    path.write_bytes(bytes.fromhex(PREVIOUS["file"]))
     store = storage.StateFile(path)
     loaded = store.load()
     store.close()
-    assert encoded(loaded).hex() == OLD["loaded"]
-    assert path.read_bytes().hex() == OLD["file"]
+    assert encoded(loaded).hex() == PREVIOUS["loaded"]
+    assert path.read_bytes().hex() == PREVIOUS["file"]
     records = storage.decode_file(path.read_bytes())[0]
-    assert (storage.HEADER + storage.encode_records(records)).hex() == OLD["file"]
+    assert (storage.HEADER + storage.encode_records(records)).hex() == PREVIOUS["file"]
 
 
-def test_what_the_proxy_has_its_worker_store_is_the_same() -> None:
-    data = bytes.fromhex(OLD["to worker"])
+def test_the_records_sent_to_the_storage_worker_are_unchanged() -> None:
+    data = bytes.fromhex(PREVIOUS["to worker"])
     assert encoded(msgspec.msgpack.decode(data, type=list[StoredRecord])) == data
 
 
-def test_commands_are_read_and_come_to_the_same_state_step_by_step() -> None:
-    """Half of the proxies run the version before: each command decides the same, and all states are equal."""
-    held = ReplicatedState()
-    for step in OLD["commands"]:
+def test_commands_are_decoded_unchanged_and_lead_to_the_same_state_step_by_step() -> None:
+    """While some proxies still run the previous version, each command must have the same outcome and lead to
+    the same state on all of them."""
+    replicated = ReplicatedState()
+    for step in PREVIOUS["commands"]:
         data = bytes.fromhex(step["command"])
         command = decode_command(data)
         assert command is not None, step["name"]
         assert encoded(command) == data, step["name"]
-        held.apply(held.index + 1, data)
-        assert held.save().hex() == step["state"], step["name"]
-        again = ReplicatedState()
-        again.load(held.index, held.save())
-        assert again.save() == held.save(), step["name"]
-    assert len({type(decode_command(bytes.fromhex(step["command"]))) for step in OLD["commands"]}) == 13
+        replicated.apply(replicated.index + 1, data)
+        assert replicated.save().hex() == step["state"], step["name"]
+        reloaded = ReplicatedState()
+        reloaded.load(replicated.index, replicated.save())
+        assert reloaded.save() == replicated.save(), step["name"]
+    assert len({type(decode_command(bytes.fromhex(step["command"]))) for step in PREVIOUS["commands"]}) == 13
 
 
-def test_the_rows_that_operators_see_are_the_same() -> None:
-    loaded = msgspec.msgpack.decode(bytes.fromhex(OLD["loaded"]), type=Checkpoint)
+def test_the_rows_shown_to_operators_are_unchanged() -> None:
+    loaded = msgspec.msgpack.decode(bytes.fromhex(PREVIOUS["loaded"]), type=Checkpoint)
     settings = AgentSettings(voters=("a", "b", "c"), budgets=BUDGETS)
-    one = Agent("a", 5, 11, settings, random.Random(1), loaded)
-    one.start(0, 0)
-    shown = object.__new__(RolloutRuntime)
-    shown.agent, shown.name, shown.storage_error = one, "a", ""
-    shown.figures = Counter(dict.fromkeys(("messages_in", "messages_out", "bytes_out", "junk", "unsent"), 5))
-    assert json.loads(json.dumps(list(shown.status_rows()))) == OLD["show"]
-    assert json.loads(json.dumps(list(shown.decision_rows()))) == OLD["show log"]
-    assert list(shown.counter_lines()) == OLD["counters"]
+    agent = Agent("a", 5, 11, settings, random.Random(1), loaded)
+    agent.start(0, 0)
+    runtime = object.__new__(RolloutRuntime)
+    runtime.agent, runtime.name, runtime.storage_error = agent, "a", ""
+    runtime.transport_counters = Counter(
+        dict.fromkeys(("messages_in", "messages_out", "bytes_out", "junk", "unsent"), 5)
+    )
+    assert json.loads(json.dumps(list(runtime.status_rows()))) == PREVIOUS["show"]
+    assert json.loads(json.dumps(list(runtime.decision_rows()))) == PREVIOUS["show log"]
+    assert list(runtime.counter_lines()) == PREVIOUS["counters"]
