--- a/arrowseam/rollouts/controller.py
+++ b/arrowseam/rollouts/controller.py
@@ -75,15 +75,15 @@
 
 
 class Controller:
-    """Makes the decisions of one leader. Its memory ends with its leadership: the next leader's waits start
-    anew."""
+    """Makes the decisions of one leader. Its state ends with the leadership, so the waits of the next leader
+    start anew."""
 
     def __init__(self, started_at: int, rnd: random.Random) -> None:
         """``started_at``: when it became leader; ``rnd`` breaks ties in the gates."""
         self.reason = ""  # why nothing is proposed
         self._started_at, self._rnd = started_at, rnd
         self._permits_seen: dict[int, int] = {}  # permit -> when it was first seen here
-        self._granted: dict[ResourceKind, int] = {}  # when the last grant was committed here
+        self._last_grants: dict[ResourceKind, int] = {}  # when the last one was committed here
         self._soak, self._stall = NO_SOAK, NO_STALL
         self._views_differ_since: int | None = None
         self._gate: Gate | None = None
@@ -107,7 +107,7 @@
     def on_committed(self, now: int, command: Command) -> None:
         """Note that a command was committed and carried out."""
         if isinstance(command, GrantPermit):
-            self._granted[command.kind] = now
+            self._last_grants[command.kind] = now
 
     # --- permits that end ---------------------------------------------------------------------------------
 
@@ -153,7 +153,7 @@
         since it does not know when the last grant was."""
         state = inputs.replicated.state
         pause = max((b.pause_s for b in state.budgets.values()), default=0.0)
-        since = self._granted.get(kind, self._started_at if kind in state.granted_ms else None)
+        since = self._last_grants.get(kind, self._started_at if kind in state.granted_ms else None)
         return since is not None and inputs.now - since < pause * SECOND
 
     def _grant_drain(self, inputs: Inputs) -> Command | None:
--- a/arrowseam/rollouts/observed.py
+++ b/arrowseam/rollouts/observed.py
@@ -19,7 +19,7 @@
     resource: Resource
     started_at: int
     available: bool  # alive and not draining
-    has_ended: bool  # known for certain; a process that is merely silent has not ended
+    has_ended: bool  # known for certain; not set for a process that is only silent
 
 
 @dataclass(frozen=True)
--- a/arrowseam/rollouts/replicated_state.py
+++ b/arrowseam/rollouts/replicated_state.py
@@ -115,7 +115,7 @@
     # --- commands -----------------------------------------------------------------------------------------
 
     def apply(self, index: int, data: bytes) -> Decision | None:
-        """Apply one committed entry. None for a command of a later version, which every proxy skips."""
+        """Apply one committed entry. None for a command of a later version, which all proxies skip alike."""
         self.state.index = index
         command = decode_command(data)
         if command is None:
--- a/arrowseam/rollouts/runtime.py
+++ b/arrowseam/rollouts/runtime.py
@@ -49,7 +49,7 @@
 
 NO_ROOM_FOR_HALT = "halt not announced: the cluster holds too many cordons and halts"
 OBSERVE_INTERVAL = 200 * MS
-COMMAND_TIMEOUT = 5 * SECOND  # after which an operator is told that the command was not committed
+COMMAND_TIMEOUT = 5 * SECOND  # after which an operator is told that the command was not agreed
 START_POLL_INTERVAL = 20 * MS
 APPLY_POLL_INTERVAL = 10 * MS
 
--- a/arrowseam/rollouts/state.py
+++ b/arrowseam/rollouts/state.py
@@ -88,7 +88,7 @@
         return self.state in ACTIVE_STATES
 
     def digest_for(self, name: str) -> str:
-        """Digest of the bundle that a proxy is to get, by whether the release is being rolled back."""
+        """Digest of the bundle that a proxy is to get; during a rollback, of its former one."""
         return self.former_digests.get(name, "") if self.rolling_back else self.digest
 
 
--- a/arrowseam/rollouts/status_rows.py
+++ b/arrowseam/rollouts/status_rows.py
@@ -19,7 +19,7 @@
 
 
 def rollout_rows(agent: Agent, storage_error: str, now: int) -> Iterator[Row]:
-    """This proxy, budgets, waiting drains, permits and releases; ``now`` is of the monotonic clock."""
+    """This proxy, budgets, waiting drains, permits and releases; ``now`` is from the monotonic clock."""
     replicated = agent.replicated
     yield _agent_row(agent, storage_error)
     for voter, budgets in sorted(replicated.state.budgets.items()):
