--- a/arrowseam/capacity/runs.py
+++ b/arrowseam/capacity/runs.py
@@ -1,7 +1,7 @@
 """The files that benchmarks/scale.py writes and the target file of operators: read whole or not at all.
 
 It owns what a good file is. It must never measure, fit or guess: a file that is cut short, a field nobody
-knows or a number out of range is one line with the place and the reason (``Bad``).
+knows or a number out of range is one line with the place and the reason (``InvalidFileError``).
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 Sample = tuple[Annotated[float, Meta(ge=0)], Annotated[float, Meta(ge=0)]]
 
 
-class Bad(ValueError):
+class InvalidFileError(ValueError):
     """A file that isn't taken; the text names the place and the reason."""
 
 
@@ -114,18 +114,18 @@
 
 
 def target(path: str | Path) -> Target:
-    """Reads a target file, TOML; raises Bad."""
+    """Reads a target file, TOML; raises InvalidFileError."""
     try:
         text = Path(path).read_bytes().decode()
         found: Target = msgspec.convert(tomllib.loads(text), Target)
     except OSError as error:
-        raise Bad(f"{path}: {error.strerror}") from None
+        raise InvalidFileError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise Bad(f"{path}: not UTF-8 text") from None
+        raise InvalidFileError(f"{path}: not UTF-8 text") from None
     except tomllib.TOMLDecodeError as error:
-        raise Bad(f"{path}: not TOML: {error}") from None
+        raise InvalidFileError(f"{path}: not TOML: {error}") from None
     except msgspec.ValidationError as error:
-        raise Bad(f"{path}: {_place(error)}") from None
+        raise InvalidFileError(f"{path}: {_place(error)}") from None
     size = found.size
     for what, most in (
         ("regions", size.zones),
@@ -133,43 +133,43 @@
         ("machines_for_control", size.proxies),
     ):
         if getattr(size, what) > most:
-            raise Bad(f"{path}: size.{what}: more than {most}")
+            raise InvalidFileError(f"{path}: size.{what}: more than {most}")
     for part in (found.size, found.events, found.limits):
         for name in part.__struct_fields__:
             if isinstance(value := getattr(part, name), float) and not math.isfinite(value):
-                raise Bad(f"{path}: {name}: not a finite number")
+                raise InvalidFileError(f"{path}: {name}: not a finite number")
     return found
 
 
 def run(path: str | Path) -> Run:
-    """Reads a run file; raises Bad."""
+    """Reads a run file; raises InvalidFileError."""
     try:
         found: Run = msgspec.json.decode(Path(path).read_bytes(), type=Run)
     except OSError as error:
-        raise Bad(f"{path}: {error.strerror}") from None
+        raise InvalidFileError(f"{path}: {error.strerror}") from None
     except msgspec.ValidationError as error:
-        raise Bad(f"{path}: {_place(error)}") from None
+        raise InvalidFileError(f"{path}: {_place(error)}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Bad(f"{path}: not JSON, or cut short: {error}") from None
+        raise InvalidFileError(f"{path}: not JSON, or cut short: {error}") from None
     names = [s.name for s in found.series]
     if twice := sorted({n for n in names if names.count(n) > 1}):
-        raise Bad(f"{path}: series: {twice[0]} stands there twice")
+        raise InvalidFileError(f"{path}: series: {twice[0]} stands there twice")
     for series in found.series:
         if len({x for x, _ in series.samples}) < SIZES:
-            raise Bad(f"{path}: {series.name}: fewer than {SIZES} sizes")
+            raise InvalidFileError(f"{path}: {series.name}: fewer than {SIZES} sizes")
         if any(x <= 0 for x, _ in series.samples):
-            raise Bad(f"{path}: {series.name}: a size of 0")
+            raise InvalidFileError(f"{path}: {series.name}: a size of 0")
     return found
 
 
 def folder(path: str | Path) -> dict[str, tuple[Series, Run]]:
-    """The newest run of each series in a folder, by name; all files must be good. Raises Bad."""
+    """The newest run of each series in a folder, by name; all files must be good. Raises InvalidFileError."""
     try:
         files = sorted(p for p in Path(path).iterdir() if p.suffix == ".json")
     except OSError as error:
-        raise Bad(f"{path}: {error.strerror}") from None
+        raise InvalidFileError(f"{path}: {error.strerror}") from None
     if not files:
-        raise Bad(f"{path}: no run files; benchmarks/scale.py writes them")
+        raise InvalidFileError(f"{path}: no run files; benchmarks/scale.py writes them")
     found: dict[str, tuple[Series, Run]] = {}
     for one in sorted(map(run, files), key=lambda r: r.at):
         found |= {series.name: (series, one) for series in one.series}
--- a/arrowseam/cli/capacity.py
+++ b/arrowseam/cli/capacity.py
@@ -27,7 +27,7 @@
         if page is not None:
             return _write(Path(page), table.page(costs), table.written)
         click.echo(json.dumps(table.doc(costs)) if as_json else table.text(costs))
-    except runs.Bad as error:
+    except runs.InvalidFileError as error:
         click.echo(f"arrowseam: {error}", err=True)
         return BAD
     except ImportError as error:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -139,7 +139,7 @@
 def test_a_bad_run_is_one_line_with_its_place(doc: dict[str, Any], said: str, tmp_path: Path) -> None:
     path = tmp_path / "run.json"
     path.write_text(json.dumps(doc))
-    with pytest.raises(runs.Bad) as told:
+    with pytest.raises(runs.InvalidFileError) as told:
         runs.run(path)
     text = str(told.value)
     assert text.startswith(str(path))
@@ -151,7 +151,7 @@
     path, whole = tmp_path / "run.json", json.dumps(a_run())
     for length in range(0, len(whole), 7):
         path.write_text(whole[:length])
-        with pytest.raises(runs.Bad, match="not JSON, or cut short"):
+        with pytest.raises(runs.InvalidFileError, match="not JSON, or cut short"):
             runs.run(path)
 
 
