--- a/arrowseam/capacity/runs.py
+++ b/arrowseam/capacity/runs.py
@@ -113,7 +113,7 @@
     return f"{found[2]}: {found[1]}" if found[2] else found[1]
 
 
-def target(path: str | Path) -> Target:
+def read_target(path: str | Path) -> Target:
     """Reads a target file, TOML; raises InvalidFileError."""
     try:
         text = Path(path).read_bytes().decode()
@@ -141,7 +141,7 @@
     return found
 
 
-def run(path: str | Path) -> Run:
+def read_run(path: str | Path) -> Run:
     """Reads a run file; raises InvalidFileError."""
     try:
         found: Run = msgspec.json.decode(Path(path).read_bytes(), type=Run)
@@ -162,7 +162,7 @@
     return found
 
 
-def folder(path: str | Path) -> dict[str, tuple[Series, Run]]:
+def read_folder(path: str | Path) -> dict[str, tuple[Series, Run]]:
     """The newest run of each series in a folder, by name; all files must be good. Raises InvalidFileError."""
     try:
         files = sorted(p for p in Path(path).iterdir() if p.suffix == ".json")
@@ -171,7 +171,7 @@
     if not files:
         raise InvalidFileError(f"{path}: no run files; benchmarks/scale.py writes them")
     found: dict[str, tuple[Series, Run]] = {}
-    for one in sorted(map(run, files), key=lambda r: r.at):
+    for one in sorted(map(read_run, files), key=lambda r: r.at):
         found |= {series.name: (series, one) for series in one.series}
     return found
 
--- a/arrowseam/cli/capacity.py
+++ b/arrowseam/cli/capacity.py
@@ -22,8 +22,8 @@
     try:
         from arrowseam.capacity import table
 
-        size = runs.target(target)
-        costs = table.Costs(runs.folder(folder or RUNS), size)
+        size = runs.read_target(target)
+        costs = table.Costs(runs.read_folder(folder or RUNS), size)
         if page is not None:
             return _write(Path(page), table.page(costs), table.written)
         click.echo(json.dumps(table.doc(costs)) if as_json else table.text(costs))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -140,7 +140,7 @@
     path = tmp_path / "run.json"
     path.write_text(json.dumps(doc))
     with pytest.raises(runs.InvalidFileError) as told:
-        runs.run(path)
+        runs.read_run(path)
     text = str(told.value)
     assert text.startswith(str(path))
     assert said in text
@@ -152,7 +152,7 @@
     for length in range(0, len(whole), 7):
         path.write_text(whole[:length])
         with pytest.raises(runs.InvalidFileError, match="not JSON, or cut short"):
-            runs.run(path)
+            runs.read_run(path)
 
 
 @pytest.mark.parametrize(
@@ -208,15 +208,15 @@
     old, new = a_run(version="old"), a_run(version="new", at="2026-12-03T05:00:00Z")
     (tmp_path / "b.json").write_text(json.dumps(old))
     (tmp_path / "a.json").write_text(json.dumps(new))
-    assert runs.folder(tmp_path)["fleet.rest.bytes"][1].version == "new"
+    assert runs.read_folder(tmp_path)["fleet.rest.bytes"][1].version == "new"
 
 
 def test_a_run_reads_back_as_it_was_written(tmp_path: Path) -> None:
     path = tmp_path / "run.json"
     path.write_text(json.dumps(a_run()))
-    one = runs.run(path)
+    one = runs.read_run(path)
     runs.write(path, one)
-    assert runs.run(path) == one
+    assert runs.read_run(path) == one
 
 
 # --- the table --------------------------------------------------------------------------------------------
@@ -224,7 +224,7 @@
 
 def costs(tmp_path: Path, **fields: Any) -> table.Costs:
     (tmp_path / "run.json").write_text(json.dumps(a_run(series=a_series(**fields))))
-    return table.Costs(runs.folder(tmp_path), runs.target(TARGET))
+    return table.Costs(runs.read_folder(tmp_path), runs.read_target(TARGET))
 
 
 def line_of(found: table.Costs, what: str) -> table.Line:
@@ -289,7 +289,7 @@
         text = text.replace(old, new)
     path = tmp_path / "five.toml"
     path.write_text(text)
-    lines = table.reckon(table.Costs(runs.folder(RUNS), runs.target(path)))
+    lines = table.reckon(table.Costs(runs.read_folder(RUNS), runs.read_target(path)))
     assert len(lines) == len(table.ROWS)
     values = [
         v for n in lines if n.figure for v in (n.figure.value.low, n.figure.value.at, n.figure.value.high)
@@ -344,7 +344,7 @@
 
 
 def test_the_recorded_runs_cover_two_decades() -> None:
-    for name, (series, run) in runs.folder(RUNS).items():
+    for name, (series, run) in runs.read_folder(RUNS).items():
         xs = sorted({x for x, _ in series.samples})
         assert len(xs) >= 5 and xs[-1] >= 99 * xs[0], name
         assert all(sum(x == at for x, _ in series.samples) >= 2 for at in xs), name
@@ -355,7 +355,7 @@
     got = CliRunner().invoke(main, ["capacity", "--target", str(TARGET), "--json"])
     doc = json.loads(got.output)
     assert [r["cost"] for r in doc["rows"]] == [r.what for r in table.ROWS]
-    assert {s["series"] for s in doc["slopes"]} == set(runs.folder(RUNS))
+    assert {s["series"] for s in doc["slopes"]} == set(runs.read_folder(RUNS))
 
 
 def test_a_proxy_imports_nothing_of_it() -> None:
