--- a/arrowseam/capacity/table.py
+++ b/arrowseam/capacity/table.py
@@ -511,7 +511,7 @@
     )
 
 
-def text(costs: Costs) -> str:
+def render_text(costs: Costs) -> str:
     """For a terminal."""
     lines = reckon(costs)
     parts = [f"{role}\n{tabulate([_cells(n) for n in rows], headers=HEAD, disable_numparse=True)}"
@@ -529,7 +529,7 @@
     )
 
 
-def page(costs: Costs) -> str:
+def render_page(costs: Costs) -> str:
     """For between the markers of a page."""
     lines = reckon(costs)
     over = [_plain(line) for line in lines if line.over]
@@ -548,7 +548,7 @@
     return "\n".join(f"| {' | '.join(row)} |" for row in rows)
 
 
-def doc(costs: Costs) -> dict[str, Any]:
+def to_document(costs: Costs) -> dict[str, Any]:
     """For machines."""
     rows = []
     for line in reckon(costs):
@@ -565,7 +565,7 @@
     return {"rows": rows, "slopes": [dict(zip(SLOPES, row)) for row in slopes(costs)]}
 
 
-def written(old: str, new: str) -> str:
+def replace_table(old: str, new: str) -> str:
     """A page with the table put anew between its markers; raises ValueError where they aren't there once."""
     if old.count(BEGIN) != 1 or old.count(END) != 1 or old.index(BEGIN) > old.index(END):
         raise ValueError(f"no {BEGIN} with an {END} after it, once each")
--- a/arrowseam/cli/capacity.py
+++ b/arrowseam/cli/capacity.py
@@ -25,8 +25,8 @@
         size = runs.read_target(target)
         costs = table.Costs(runs.read_folder(folder or RUNS), size)
         if page is not None:
-            return _write(Path(page), table.page(costs), table.written)
-        click.echo(json.dumps(table.doc(costs)) if as_json else table.text(costs))
+            return _write(Path(page), table.render_page(costs), table.replace_table)
+        click.echo(json.dumps(table.to_document(costs)) if as_json else table.render_text(costs))
     except runs.InvalidFileError as error:
         click.echo(f"arrowseam: {error}", err=True)
         return BAD
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -239,8 +239,8 @@
     found = costs(tmp_path, samples=[[x, rate] for x in SIZES])
     line = line_of(found, "bytes of the view")
     assert line.over is over
-    assert word in table.text(found)
-    (row,) = [r for r in table.doc(found)["rows"] if r["cost"] == "bytes of the view"]
+    assert word in table.render_text(found)
+    (row,) = [r for r in table.to_document(found)["rows"] if r["cost"] == "bytes of the view"]
     assert row["at"] == pytest.approx(rate)
     assert row["over"] is over
     assert row["limit"] == 4000
@@ -252,16 +252,16 @@
     assert line.figure is None
     assert not line.over
     assert line.room is None
-    (row,) = [r for r in table.doc(found)["rows"] if r["cost"] == "until it has its whole share"]
+    (row,) = [r for r in table.to_document(found)["rows"] if r["cost"] == "until it has its whole share"]
     assert not row["measured"]
     assert "at" not in row
-    assert "not measured" in table.text(found)
+    assert "not measured" in table.render_text(found)
 
 
 def test_a_wrong_form_is_said_in_the_table(tmp_path: Path) -> None:
     found = costs(tmp_path, form="log", samples=[[x, x * x] for x in SIZES])
     assert line_of(found, "bytes of the view").figure.wrong == ("fleet.rest.bytes",)  # type: ignore[union-attr]
-    assert "form wrong: missed by" in table.text(found)
+    assert "form wrong: missed by" in table.render_text(found)
     assert "1 series whose form is wrong: fleet.rest.bytes" in table.summary(table.reckon(found))
 
 
