--- a/arrowseam/capacity/__init__.py
+++ b/arrowseam/capacity/__init__.py
@@ -1,2 +1,4 @@
-"""What a fleet of any size costs, from recorded runs: fits, the table of a target, the page. No part of a
-proxy."""
+"""Estimates the costs of a cluster of any size from recorded runs: fits, and the cost table of a target.
+
+Proxies do not import this package.
+"""
--- a/arrowseam/capacity/fit.py
+++ b/arrowseam/capacity/fit.py
@@ -1,8 +1,8 @@
-"""Costs as a function of size: least squares in the one form that the code gives reason for, with intervals.
+"""Cost as a function of size: least-squares fits with confidence intervals.
 
-It owns the fits and their test: the largest size is held out, the rest predicts it, and where that is missed
-by more than a fifth the form is called wrong. It must never choose a form by how well it fits. numpy and
-scipy are imported here, and nowhere else in the program, when the first fit is made.
+The form of a fit follows from the code that is measured and is never chosen by how well it fits. Each fit is
+tested: the largest size is held out and predicted from the others, and if the prediction is off by more than
+a fifth, the form is called wrong. numpy and scipy are imported only in this module, at the first fit.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-LEVEL = 0.95  # of the intervals
-MISSED = 0.2  # by more the form is wrong
+CONFIDENCE = 0.95  # of the intervals
+MAX_RELATIVE_ERROR = 0.2  # above this error at the held-out size the form is wrong
 FORMS = ("constant", "log", "linear", "nlogn")
 
 
-def shape(form: str, x: float) -> float:
-    """What the slope multiplies."""
+def regressor(form: str, x: float) -> float:
+    """The regressor of a form at size ``x``: the value that the slope multiplies."""
     match form:
         case "constant":
             return 0.0
@@ -28,100 +28,104 @@
             return x
         case "nlogn":
             return x * math.log(x)
-    raise ValueError(f"no form is called {form}")
+    raise ValueError(f"unknown form: {form}")
 
 
 @dataclass(frozen=True)
-class Value:
-    """A figure and its interval, in the unit of its series."""
+class Estimate:
+    """An estimate and its confidence interval, in the unit of its series."""
 
-    at: float
+    value: float
     low: float
     high: float
 
-    def times(self, other: float | Value) -> Value:
-        """With all ends of both; for figures that are not below 0."""
-        if isinstance(other, Value):
-            return Value(self.at * other.at, max(0.0, self.low) * max(0.0, other.low), self.high * other.high)
-        return Value(self.at * other, self.low * other, self.high * other)
+    def multiply(self, other: float | Estimate) -> Estimate:
+        """Multiplies value and bounds; for estimates that are not negative."""
+        if isinstance(other, Estimate):
+            return Estimate(
+                self.value * other.value, max(0.0, self.low) * max(0.0, other.low), self.high * other.high
+            )
+        return Estimate(self.value * other, self.low * other, self.high * other)
 
-    def plus(self, other: float | Value) -> Value:
-        if isinstance(other, Value):
-            return Value(self.at + other.at, self.low + other.low, self.high + other.high)
-        return Value(self.at + other, self.low + other, self.high + other)
+    def add(self, other: float | Estimate) -> Estimate:
+        if isinstance(other, Estimate):
+            return Estimate(self.value + other.value, self.low + other.low, self.high + other.high)
+        return Estimate(self.value + other, self.low + other, self.high + other)
 
 
 @dataclass(frozen=True)
-class Line:
-    """y = base + slope * shape(x); the interval of its mean from the covariance and Student's t."""
+class FittedLine:
+    """y = intercept + slope * regressor(x), with an interval from the covariance and Student's t."""
 
     form: str
-    base: float
+    intercept: float
     slope: float
-    spread: tuple[tuple[float, float], tuple[float, float]]  # covariance of base and slope
-    t: float
+    covariance: tuple[tuple[float, float], tuple[float, float]]  # of intercept and slope
+    t_quantile: float
 
-    def __call__(self, x: float) -> Value:
-        g = shape(self.form, x)
-        at = self.base + self.slope * g
-        (bb, bs), (_, ss) = self.spread
-        half = self.t * math.sqrt(max(0.0, bb + 2 * g * bs + g * g * ss))
-        return Value(max(0.0, at), max(0.0, at - half), max(0.0, at + half))
+    def __call__(self, x: float) -> Estimate:
+        term = regressor(self.form, x)
+        value = self.intercept + self.slope * term
+        (bb, bs), (_, ss) = self.covariance
+        half_width = self.t_quantile * math.sqrt(max(0.0, bb + 2 * term * bs + term * term * ss))
+        return Estimate(max(0.0, value), max(0.0, value - half_width), max(0.0, value + half_width))
 
     @property
-    def slope_within(self) -> tuple[float, float]:
-        half = self.t * math.sqrt(max(0.0, self.spread[1][1]))
-        return self.slope - half, self.slope + half
+    def slope_interval(self) -> tuple[float, float]:
+        half_width = self.t_quantile * math.sqrt(max(0.0, self.covariance[1][1]))
+        return self.slope - half_width, self.slope + half_width
 
 
 @dataclass(frozen=True)
 class Fit:
-    line: Line  # through all sizes
+    line: FittedLine  # through all sizes
     sizes: int
-    most: float  # the largest size measured
-    measured: float  # the mean there
-    predicted: float  # from the other sizes
-    missed: float  # by what part of the measured mean
+    largest_size: float  # that was measured
+    measured: float  # mean cost at the largest size
+    predicted: float  # at the largest size, from the others
+    relative_error: float  # of the prediction, relative to the measured mean
 
     @property
-    def wrong(self) -> bool:
-        return self.missed > MISSED
+    def is_wrong(self) -> bool:
+        return self.relative_error > MAX_RELATIVE_ERROR
 
 
-def _line(form: str, samples: Sequence[tuple[float, float]]) -> Line:
-    """Weighted by the mean of each size: the spread grows with the cost, and no decade outweighs another."""
+def _fit_line(form: str, samples: Sequence[tuple[float, float]]) -> FittedLine:
+    """Weights by the inverse of each size's mean: the spread grows with the cost, and no decade dominates."""
     import numpy as np
     from scipy import stats
 
-    by: defaultdict[float, list[float]] = defaultdict(list)
+    by_size: defaultdict[float, list[float]] = defaultdict(list)
     for x, y in samples:
-        by[x].append(y)
-    most = max(y for _, y in samples)
-    if most == 0.0:
-        return Line(form, 0.0, 0.0, ((0.0, 0.0), (0.0, 0.0)), 0.0)
-    xs = np.array([shape(form, x) for x, _ in samples])
+        by_size[x].append(y)
+    largest_cost = max(y for _, y in samples)
+    if largest_cost == 0.0:
+        return FittedLine(form, 0.0, 0.0, ((0.0, 0.0), (0.0, 0.0)), 0.0)
+    xs = np.array([regressor(form, x) for x, _ in samples])
     ys = np.array([y for _, y in samples])
-    # Where a mean is nothing, a thousandth of the most stands in: no weight is without end.
-    weights = np.array([1 / max(sum(by[x]) / len(by[x]), most / 1000) for x, _ in samples])
+    # Means near 0 count as a thousandth of the largest cost, so that no weight is infinite.
+    weights = np.array([1 / max(sum(by_size[x]) / len(by_size[x]), largest_cost / 1000) for x, _ in samples])
     degree = 0 if form == "constant" else 1
-    found, spread = np.polyfit(xs, ys, degree, w=weights, cov=True)
-    t = float(stats.t.ppf((1 + LEVEL) / 2, len(samples) - degree - 1))
+    coefficients, cov_matrix = np.polyfit(xs, ys, degree, w=weights, cov=True)
+    t_quantile = float(stats.t.ppf((1 + CONFIDENCE) / 2, len(samples) - degree - 1))
     if degree == 0:
-        return Line(form, float(found[0]), 0.0, ((float(spread[0][0]), 0.0), (0.0, 0.0)), t)
-    cross = float(spread[0][1])
-    covariance = ((float(spread[1][1]), cross), (cross, float(spread[0][0])))
-    return Line(form, float(found[1]), float(found[0]), covariance, t)
+        return FittedLine(
+            form, float(coefficients[0]), 0.0, ((float(cov_matrix[0][0]), 0.0), (0.0, 0.0)), t_quantile
+        )
+    cross = float(cov_matrix[0][1])
+    covariance = ((float(cov_matrix[1][1]), cross), (cross, float(cov_matrix[0][0])))
+    return FittedLine(form, float(coefficients[1]), float(coefficients[0]), covariance, t_quantile)
 
 
 def fit(form: str, samples: Sequence[tuple[float, float]]) -> Fit:
-    """At least four sizes; raises ValueError."""
+    """Fits samples of at least four sizes, else raises ValueError."""
     sizes = sorted({x for x, _ in samples})
-    if len(sizes) < 4 or sizes[0] <= 0:  # three for the line, or its spread is unknown, and one held out
-        raise ValueError("a fit wants four sizes above 0")
-    most = sizes[-1]
-    held = [y for x, y in samples if x == most]
-    measured = sum(held) / len(held)
-    predicted = _line(form, [(x, y) for x, y in samples if x != most])(most).at
-    off = abs(predicted - measured)
-    missed = off / measured if measured else math.inf if off else 0.0
-    return Fit(_line(form, samples), len(sizes), most, measured, predicted, missed)
+    if len(sizes) < 4 or sizes[0] <= 0:  # three for a line with a covariance, and one held out
+        raise ValueError("a fit needs at least four sizes above 0")
+    largest_size = sizes[-1]
+    held_out = [y for x, y in samples if x == largest_size]
+    measured = sum(held_out) / len(held_out)
+    predicted = _fit_line(form, [(x, y) for x, y in samples if x != largest_size])(largest_size).value
+    error = abs(predicted - measured)
+    relative_error = error / measured if measured else math.inf if error else 0.0
+    return Fit(_fit_line(form, samples), len(sizes), largest_size, measured, predicted, relative_error)
--- a/arrowseam/capacity/runs.py
+++ b/arrowseam/capacity/runs.py
@@ -1,7 +1,8 @@
-"""The files that benchmarks/scale.py writes and the target file of operators: read whole or not at all.
+"""Reads and validates the run files that benchmarks/scale.py writes and the target files of operators.
 
-It owns what a good file is. It must never measure, fit or guess: a file that is cut short, a field nobody
-knows or a number out of range is one line with the place and the reason (``InvalidFileError``).
+A file is accepted as a whole or rejected. Truncated files, unknown fields and values out of range raise
+``InvalidFileError``, whose message is one line with the place and the reason. Nothing is measured or fitted
+here, and no value is guessed.
 """
 
 from __future__ import annotations
@@ -15,25 +16,25 @@
 import msgspec
 from msgspec import Meta
 
-FORM = 1  # of a run file
-SIZES = 4  # a series of fewer sizes can't be fitted with its largest held out
+FORMAT_VERSION = 1  # of run files
+MIN_SIZES = 4  # with fewer, a series can't be fitted with its largest size held out
 
 Text = Annotated[str, Meta(min_length=1, max_length=400)]
 Sample = tuple[Annotated[float, Meta(ge=0)], Annotated[float, Meta(ge=0)]]
 
 
 class InvalidFileError(ValueError):
-    """A file that isn't taken; the text names the place and the reason."""
+    """A file was rejected; the message names the place and the reason."""
 
 
 class Series(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One cost at several sizes. ``form`` is what the code gives reason for (``why``); ``how`` it was
-    measured: on the virtual clock, with hollow or real processes, or one part alone."""
+    """One cost at several sizes. ``form`` follows from the code, for the reason in ``why``; ``how`` is how it
+    was measured: on the virtual clock, with hollow or real processes, or one component alone."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z]+(\.[a-z0-9]+)+$")]
     role: Text
     unit: Text
-    x: Text  # what the size counts
+    x: Text  # what the size is a number of
     form: Literal["constant", "log", "linear", "nlogn"]
     why: Text
     how: Literal["virtual", "hollow", "real", "alone"]
@@ -41,10 +42,10 @@
 
 
 class Run(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One sitting of measurements on one machine."""
+    """Measurements that one command took on one machine."""
 
     form: Literal[1]
-    made: Text  # the command
+    made: Text  # the command that was run
     at: Annotated[str, Meta(pattern=r"^\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ$")]
     machine: dict[str, str | int | float]
     version: Text
@@ -53,17 +54,17 @@
 
 
 Count = Annotated[int, Meta(ge=0, le=10**12)]
-Some = Annotated[int, Meta(ge=1, le=10**12)]
-Part = Annotated[float, Meta(gt=0, le=100)]
-Span = Annotated[float, Meta(gt=0, le=1e6)]
+PositiveCount = Annotated[int, Meta(ge=1, le=10**12)]
+Percent = Annotated[float, Meta(gt=0, le=100)]
+Duration = Annotated[float, Meta(gt=0, le=1e6)]
 
 
 class Size(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     proxies: Annotated[int, Meta(ge=2, le=1_000_000)]
-    connections: Some
-    deliveries_per_s: Some
-    delivery_ms: Span  # within so long ...
-    delivery_part: Annotated[float, Meta(gt=0, lt=1)]  # ... for this part of them
+    connections: PositiveCount
+    deliveries_per_s: PositiveCount
+    delivery_ms: Duration  # deadline of a delivery ...
+    delivery_part: Annotated[float, Meta(gt=0, lt=1)]  # ... that this fraction of them meets
     shards: Count
     largest_topic: Count
     regions: Annotated[int, Meta(ge=1, le=1000)]
@@ -75,24 +76,24 @@
 
 class Events(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     changes_a_day: Count
-    in_force_s: Span
+    in_force_s: Duration
     silent_a_day: Count
     restarts_a_day: Count
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Of one proxy, for control; ``span_s`` is what bytes and processor are meant over."""
+    """Limits of one proxy for control; bytes and processor time are means over ``span_s``."""
 
-    core_percent: Part
+    core_percent: Percent
     memory_mb: Annotated[float, Meta(gt=0, le=1e6)]
     bytes_per_s: Annotated[float, Meta(gt=0, le=1e12)]
-    span_s: Span = 60.0
-    whole_share_s: Span = 10.0  # a start has its whole share
-    death_known_s: Span = 3.0
-    zone_known_s: Span = 10.0
-    healed_s: Span = 30.0
-    cordon_s: Span = 2.0
-    hold_up_ms: Span = 5.0
+    span_s: Duration = 60.0
+    whole_share_s: Duration = 10.0  # until a started proxy has its full share
+    death_known_s: Duration = 3.0
+    zone_known_s: Duration = 10.0
+    healed_s: Duration = 30.0
+    cordon_s: Duration = 2.0
+    hold_up_ms: Duration = 5.0
 
 
 class Target(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -101,23 +102,23 @@
     limits: Limits
 
     @property
-    def zone(self) -> int:
-        """Proxies of a zone, rounded up."""
+    def proxies_per_zone(self) -> int:
+        """Rounded up."""
         return -(-self.size.proxies // self.size.zones)
 
 
-def _place(error: Exception) -> str:
-    """msgspec's ``... - at `$.series[3].samples``` as place and reason."""
-    found = re.fullmatch(r"(.*?)(?: - at `(?:key in )?\$?\.?(.*?)`)?", str(error), re.DOTALL)
-    assert found is not None
-    return f"{found[2]}: {found[1]}" if found[2] else found[1]
+def _describe(error: Exception) -> str:
+    """Turns msgspec's ``REASON - at `$.series[3].samples``` into place and reason."""
+    place_and_reason = re.fullmatch(r"(.*?)(?: - at `(?:key in )?\$?\.?(.*?)`)?", str(error), re.DOTALL)
+    assert place_and_reason is not None
+    return f"{place_and_reason[2]}: {place_and_reason[1]}" if place_and_reason[2] else place_and_reason[1]
 
 
 def read_target(path: str | Path) -> Target:
-    """Reads a target file, TOML; raises InvalidFileError."""
+    """Reads a target file in TOML; raises InvalidFileError."""
     try:
         text = Path(path).read_bytes().decode()
-        found: Target = msgspec.convert(tomllib.loads(text), Target)
+        parsed: Target = msgspec.convert(tomllib.loads(text), Target)
     except OSError as error:
         raise InvalidFileError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
@@ -125,60 +126,60 @@
     except tomllib.TOMLDecodeError as error:
         raise InvalidFileError(f"{path}: not TOML: {error}") from None
     except msgspec.ValidationError as error:
-        raise InvalidFileError(f"{path}: {_place(error)}") from None
-    size = found.size
-    for what, most in (
+        raise InvalidFileError(f"{path}: {_describe(error)}") from None
+    size = parsed.size
+    for field, maximum in (
         ("regions", size.zones),
         ("zones", size.proxies),
         ("machines_for_control", size.proxies),
     ):
-        if getattr(size, what) > most:
-            raise InvalidFileError(f"{path}: size.{what}: more than {most}")
-    for part in (found.size, found.events, found.limits):
-        for name in part.__struct_fields__:
-            if isinstance(value := getattr(part, name), float) and not math.isfinite(value):
+        if getattr(size, field) > maximum:
+            raise InvalidFileError(f"{path}: size.{field}: more than {maximum}")
+    for section in (parsed.size, parsed.events, parsed.limits):
+        for name in section.__struct_fields__:
+            if isinstance(value := getattr(section, name), float) and not math.isfinite(value):
                 raise InvalidFileError(f"{path}: {name}: not a finite number")
-    return found
+    return parsed
 
 
 def read_run(path: str | Path) -> Run:
     """Reads a run file; raises InvalidFileError."""
     try:
-        found: Run = msgspec.json.decode(Path(path).read_bytes(), type=Run)
+        parsed: Run = msgspec.json.decode(Path(path).read_bytes(), type=Run)
     except OSError as error:
         raise InvalidFileError(f"{path}: {error.strerror}") from None
     except msgspec.ValidationError as error:
-        raise InvalidFileError(f"{path}: {_place(error)}") from None
+        raise InvalidFileError(f"{path}: {_describe(error)}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise InvalidFileError(f"{path}: not JSON, or cut short: {error}") from None
-    names = [s.name for s in found.series]
-    if twice := sorted({n for n in names if names.count(n) > 1}):
-        raise InvalidFileError(f"{path}: series: {twice[0]} stands there twice")
-    for series in found.series:
-        if len({x for x, _ in series.samples}) < SIZES:
-            raise InvalidFileError(f"{path}: {series.name}: fewer than {SIZES} sizes")
+        raise InvalidFileError(f"{path}: not JSON, or truncated: {error}") from None
+    names = [s.name for s in parsed.series]
+    if duplicates := sorted({n for n in names if names.count(n) > 1}):
+        raise InvalidFileError(f"{path}: series: {duplicates[0]} occurs twice")
+    for series in parsed.series:
+        if len({x for x, _ in series.samples}) < MIN_SIZES:
+            raise InvalidFileError(f"{path}: {series.name}: fewer than {MIN_SIZES} sizes")
         if any(x <= 0 for x, _ in series.samples):
-            raise InvalidFileError(f"{path}: {series.name}: a size of 0")
-    return found
+            raise InvalidFileError(f"{path}: {series.name}: sizes must be above 0")
+    return parsed
 
 
 def read_folder(path: str | Path) -> dict[str, tuple[Series, Run]]:
-    """The newest run of each series in a folder, by name; all files must be good. Raises InvalidFileError."""
+    """Returns the newest run of each series by name; raises InvalidFileError if any file is invalid."""
     try:
         files = sorted(p for p in Path(path).iterdir() if p.suffix == ".json")
     except OSError as error:
         raise InvalidFileError(f"{path}: {error.strerror}") from None
     if not files:
         raise InvalidFileError(f"{path}: no run files; benchmarks/scale.py writes them")
-    found: dict[str, tuple[Series, Run]] = {}
-    for one in sorted(map(read_run, files), key=lambda r: r.at):
-        found |= {series.name: (series, one) for series in one.series}
-    return found
+    newest: dict[str, tuple[Series, Run]] = {}
+    for loaded in sorted(map(read_run, files), key=lambda r: r.at):
+        newest |= {series.name: (series, loaded) for series in loaded.series}
+    return newest
 
 
-def write(path: str | Path, one: Run) -> None:
-    """A sample a line short enough to be read in a difference."""
-    doc: Any = msgspec.to_builtins(one)
+def write_run(path: str | Path, run: Run) -> None:
+    """Writes a run with one sample per line, so that diffs stay readable."""
+    doc: Any = msgspec.to_builtins(run)
     text = msgspec.json.format(msgspec.json.encode(doc), indent=1).decode()
     text = re.sub(r"\[\s+([\d.e+-]+),\s+([\d.e+-]+)\s+\]", r"[\1, \2]", text)
     Path(path).write_text(text + "\n")
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -39,7 +39,15 @@
 sys.path.insert(0, str(ROOT))
 
 from arrowseam.capacity import runs  # noqa: E402
-from arrowseam.capacity.table import CONTROL, LAB, OPS, OUTSIDE, PATH, SHARD, VOTER  # noqa: E402
+from arrowseam.capacity.table import (  # noqa: E402
+    CONTROL,
+    DATA_PATH,
+    LABORATORY,
+    OPERATORS,
+    OUTSIDE,
+    SHARDS,
+    VOTER,
+)
 from arrowseam.lab.local_cluster import CAPS, LANES, RULES, free_ports  # noqa: E402
 from arrowseam.lab.simulated_cluster import MS, PORT, SECOND, WALL, SimulatedCluster  # noqa: E402
 from arrowseam.membership.effects import OpenStream, SendDatagram  # noqa: E402
@@ -1036,7 +1044,7 @@
         "fleet.rest.cpu": (CONTROL, "% of a core", "constant", PROBE),
     }),
     "lab": Group(virtual, "members", "virtual", (12, 36, 120, 360, 1200), {
-        "lab.virtual.cpu": (LAB, "s/s", "nlogn", "n members' events, each through a queue of n"),
+        "lab.virtual.cpu": (LABORATORY, "s/s", "nlogn", "n members' events, each through a queue of n"),
     }),
     "fleet.start": Group(start, MEMBERS, "virtual", SMALL, {
         "fleet.start.bytes": (CONTROL, "B/s", "linear", FETCH),
@@ -1083,9 +1091,9 @@
         "fleet.sync.bytes": (CONTROL, "B", "linear", "n records"),
         "fleet.sync.cpu": (CONTROL, "ms", "linear", "n records decoded and taken in"),
         "fleet.sync.longest": (CONTROL, "ms", "linear", "n records decoded in one event"),
-        "ops.fleet.bytes": (OPS, "B", "linear", "a line a member"),
-        "ops.fleet.loop": (OPS, "ms", "nlogn", "n lines, sorted by name"),
-        "ops.fleet.print": (OPS, "ms", "linear", "n rows"),
+        "ops.fleet.bytes": (OPERATORS, "B", "linear", "a line a member"),
+        "ops.fleet.loop": (OPERATORS, "ms", "nlogn", "n lines, sorted by name"),
+        "ops.fleet.print": (OPERATORS, "ms", "linear", "n rows"),
     }, jobs=3),
     "agree": Group(agreed, "members", "virtual", (6, 18, 60, 180, 600), {
         "agree.leader.bytes": (VOTER, "B/s", "linear", REPORTS),
@@ -1100,13 +1108,13 @@
         "agree.state.bytes": (VOTER, "B", "linear", "a release and its plan name all n"),
     }),
     "path": Group(path, "connections", "real", (90, 300, 900, 3000, 9000), {
-        "path.accept.cpu": (PATH, "us", "constant", "an opening is placed and set up by itself"),
-        "path.idle.cpu": (PATH, "% of a core", "linear", "timers of each connection"),
-        "path.memory.idle": (PATH, "B", "linear", "two sockets, a coroutine and buffers each"),
-        "path.memory.used": (PATH, "B", "linear", "two sockets, a coroutine and buffers each"),
-        "path.echo.cpu": (PATH, "us", "constant", "epoll tells of ready sockets only"),
-        "path.echo.busy": (PATH, "% of a core", "constant", "whether the proxy was what was measured"),
-        "path.push.cpu": (PATH, "us", "constant", "epoll tells of ready sockets only"),
+        "path.accept.cpu": (DATA_PATH, "us", "constant", "an opening is placed and set up by itself"),
+        "path.idle.cpu": (DATA_PATH, "% of a core", "linear", "timers of each connection"),
+        "path.memory.idle": (DATA_PATH, "B", "linear", "two sockets, a coroutine and buffers each"),
+        "path.memory.used": (DATA_PATH, "B", "linear", "two sockets, a coroutine and buffers each"),
+        "path.echo.cpu": (DATA_PATH, "us", "constant", "epoll tells of ready sockets only"),
+        "path.echo.busy": (DATA_PATH, "% of a core", "constant", "whether the proxy was what was measured"),
+        "path.push.cpu": (DATA_PATH, "us", "constant", "epoll tells of ready sockets only"),
     }, jobs=1),
     "discovery": Group(discovery, "proxies", "real", (1, 3, 10, 30, 100), {
         "discovery.start.bytes": (OUTSIDE, "B", "linear", "each fetches the list once, of 100 servers here"),
@@ -1115,25 +1123,25 @@
         "servers.rest.setups": (OUTSIDE, "1/s", "constant", "no probes: a set-up is a client's"),
     }, seeds=2, jobs=1),
     "commands": Group(commands, "servers", "real", (10, 30, 100, 300, 1000), {
-        "ops.members.bytes": (OPS, "B", "linear", "a line a server"),
-        "ops.members.loop": (OPS, "ms", "linear", "a line a server"),
-        "ops.members.print": (OPS, "ms", "linear", "a row a server, beside the start of Python"),
+        "ops.members.bytes": (OPERATORS, "B", "linear", "a line a server"),
+        "ops.members.loop": (OPERATORS, "ms", "linear", "a line a server"),
+        "ops.members.print": (OPERATORS, "ms", "linear", "a row a server, beside the start of Python"),
     }, jobs=2),
     "status": Group(status, "members", "alone", (65, 200, 650, 2000, 6500), {
-        "ops.status.bytes": (OPS, "B", "linear", "a release names all n twice"),
-        "ops.status.loop": (OPS, "ms", "linear", "a release names all n twice"),
+        "ops.status.bytes": (OPERATORS, "B", "linear", "a release names all n twice"),
+        "ops.status.loop": (OPERATORS, "ms", "linear", "a release names all n twice"),
     }),
     "shards": Group(shards, "shards", "alone", (13_000, 41_000, 130_000, 410_000, 1_300_000), {
-        "shards.objects.bytes": (SHARD, "B", "linear", "an object, its name and its numbers each"),
-        "shards.objects.cpu": (SHARD, "us", "log", "a hash table in ever slower caches"),
-        "shards.packed.bytes": (SHARD, "B", "linear", "14 bytes each"),
-        "shards.packed.cpu": (SHARD, "us", "log", "a binary search"),
-        "shards.exceptions.bytes": (SHARD, "B", "linear", "10 bytes for one in a hundred"),
+        "shards.objects.bytes": (SHARDS, "B", "linear", "an object, its name and its numbers each"),
+        "shards.objects.cpu": (SHARDS, "us", "log", "a hash table in ever slower caches"),
+        "shards.packed.bytes": (SHARDS, "B", "linear", "14 bytes each"),
+        "shards.packed.cpu": (SHARDS, "us", "log", "a binary search"),
+        "shards.exceptions.bytes": (SHARDS, "B", "linear", "10 bytes for one in a hundred"),
     }, jobs=3),
     "placement": Group(placement, "servers", "alone", (12, 120, 400, 1200, 4000, 12_000), {
-        "shards.rendezvous.cpu": (SHARD, "us", "linear", "each server is weighed"),
-        "shards.jump.cpu": (SHARD, "us", "log", "log n jumps"),
-        "shards.bounded.cpu": (SHARD, "us", "log", "a binary search, and a step on where one is full"),
+        "shards.rendezvous.cpu": (SHARDS, "us", "linear", "each server is weighed"),
+        "shards.jump.cpu": (SHARDS, "us", "log", "log n jumps"),
+        "shards.bounded.cpu": (SHARDS, "us", "log", "a binary search, and a step on where one is full"),
     }),
 }
 # fmt: on
@@ -1173,7 +1181,7 @@
     }  # fmt: skip
     made = f"benchmarks/scale.py --only {name}"
     at = datetime.now(UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
-    return runs.Run(runs.FORM, made, at, machine, version, seed, series)
+    return runs.Run(runs.FORMAT_VERSION, made, at, machine, version, seed, series)
 
 
 def main() -> None:
@@ -1213,7 +1221,7 @@
         run = measure(name, group, only, picked, given.seeds or group.seeds, given.seed)
         out = Path(given.out)
         out.mkdir(parents=True, exist_ok=True)
-        runs.write(out / f"{name}-{run.version}.json", run)
+        runs.write_run(out / f"{name}-{run.version}.json", run)
 
 
 if __name__ == "__main__":
