--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -35,7 +35,7 @@
 from arrowseam.membership.streams import StreamTable
 from arrowseam.membership.suspicion import SuspicionTracker
 from arrowseam.membership.view import ClusterView
-from arrowseam.membership.zones import Zone, ZoneTable, rank
+from arrowseam.membership.zones import Zone, ZoneTable, speaker_rank
 from arrowseam.outcomes import StreamOutcome
 
 
@@ -118,7 +118,7 @@
 class _KnownOnlyEvidence(EvidenceTracker):
     @property
     def unconfirmed_count(self) -> int:
-        return self.members.known_count - 1 - len(self.settled)
+        return self.members.known_count - 1 - len(self.confirmed)
 
 
 class OnlyKnownAreUnconfirmed(PlantedView):
@@ -131,7 +131,7 @@
     @property
     def unconfirmed_count(self) -> int:
         records = self.members.records.items()
-        ended = sum(r.state in ENDED_STATES and n not in self.settled for n, r in records)
+        ended = sum(r.state in ENDED_STATES and n not in self.confirmed for n, r in records)
         return super().unconfirmed_count - ended
 
 
@@ -197,8 +197,8 @@
 
 
 class _CordonlessSync(StateSynchronizer):
-    def take_in(self, state: StateSync) -> None:
-        super().take_in(msgspec.structs.replace(state, cordons=[]))
+    def merge(self, state: StateSync) -> None:
+        super().merge(msgspec.structs.replace(state, cordons=[]))
 
 
 class CordonsNotSynchronised(PlantedView):
@@ -419,7 +419,7 @@
 
 class _OneSpeaker(ZoneTable):
     def is_speaker(self, own_name: str, others: Iterable[str], ranks: dict[str, int]) -> bool:
-        return all(ranks.setdefault(name, rank(name)) > rank(own_name) for name in others)
+        return all(ranks.setdefault(name, speaker_rank(name)) > speaker_rank(own_name) for name in others)
 
 
 class OneSpeaker(PlantedView):
