--- a/arrowseam/__init__.py
+++ b/arrowseam/__init__.py
@@ -1,4 +1,4 @@
-"""arrowseam: the decisions of a balancer for long-lived connections."""
+"""arrowseam: a load-balancing proxy for long-lived connections."""
 
 from arrowseam.balancer import Balancer
 
--- a/arrowseam/__main__.py
+++ b/arrowseam/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m arrowseam``: hands the words of the command line to ``cli/``."""
+"""``python -m arrowseam``: the entry point of the command line in ``cli/``."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == [SERVE_COMMAND]:
-        record_signals()  # before the imports, which take most of the start
+        record_signals()  # before the imports, which take most of the start-up time
     from arrowseam.cli import main
 
     main(prog_name="arrowseam")
--- a/arrowseam/address.py
+++ b/arrowseam/address.py
@@ -1,4 +1,4 @@
-"""Addresses as text (``HOST:PORT``) and as sockets take them. Names are never resolved."""
+"""Addresses as text (``HOST:PORT``) and as socket addresses. Names are never resolved."""
 
 from __future__ import annotations
 
@@ -8,8 +8,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Host and port of ``HOST:PORT`` or ``[HOST]:PORT``; raises ValueError."""
-    """Host and port of ``HOST:PORT`` or ``[HOST]:PORT``; raises ValueError."""
+    """Parse ``HOST:PORT`` or ``[HOST]:PORT``; raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isdigit() or not 0 <= int(port) <= 65535:
         raise ValueError(f"not HOST:PORT: {text!r}")
--- a/arrowseam/driver.py
+++ b/arrowseam/driver.py
@@ -1,7 +1,7 @@
 """The blocking interface to the balancer: ``next_step``, ``report_outcome``, ``run_timers``.
 
 It owns the one ``Balancer`` of this process, the balancer's timers and the ids by which the balancer knows
-requests and endpoints. It passes events in and actions out and decides nothing itself; it knows neither
+requests and endpoints. It passes events in and carries out actions; it makes no decisions and knows neither
 sockets nor protocols. All times are microseconds of the monotonic clock.
 """
 
@@ -18,9 +18,9 @@
 from arrowseam.client_request import (
     Answer,
     Attempt,
+    ClientDisconnected,
     ConnectionSnapshot,
     Failed,
-    NoAnswerOwed,
     Rejected,
     Request,
 )
@@ -44,11 +44,11 @@
 
 @dataclass(slots=True)
 class PendingWork:
-    """What the balancer wants done besides answers to requests.
+    """The actions of the balancer other than answers to requests.
 
     Attributes:
         migrations: requests whose clients are to be asked to reconnect.
-        refresh_endpoints: call the discovery service and go on watching it.
+        refresh_endpoints: call the discovery service and keep watching it.
         health_checks: endpoints to be asked for a load report.
         log_messages: lines for the log.
         wake_at: when ``run_timers`` is to be called next; None = no timer is set.
@@ -62,7 +62,7 @@
 
 
 class BalancerDriver:
-    """Gives each request its balancer's answers, and the balancer what happens to requests and endpoints.
+    """Gives each request the balancer's answers, and the balancer the events of requests and endpoints.
 
     Attributes:
         endpoint_ids, endpoint_names: ids by name, and names by id.
@@ -99,11 +99,11 @@
 
     # --- events in, actions out ---
 
-    def _notify(self, *occurred: Event) -> None:
+    def _notify(self, *new_events: Event) -> None:
         """Pass events to the balancer and carry out the actions that it returns."""
         now = self.clock()
         handlers = self._action_handlers
-        for action in self.balancer.handle(max(now, self.balancer.now), list(occurred)):
+        for action in self.balancer.handle(max(now, self.balancer.now), list(new_events)):
             handlers[type(action)](action, now)
 
     def _on_start_attempt(self, action: actions.StartAttempt, now: int) -> None:
@@ -160,11 +160,11 @@
             self._notify(self._track(request))
         while True:
             if request.has_client_left():
-                # An attempt that the balancer has asked for meanwhile is settled, never made.
+                # An attempt that the balancer has started meanwhile is settled without being made.
                 self.abandon(request)
-                return NoAnswerOwed()
+                return ClientDisconnected()
             if request.is_aborted and request.is_tracked:
-                # Whether it may be rejected, after what was tried for it, is for the balancer to say.
+                # The balancer decides whether it may be rejected, given the attempts made so far.
                 request.answers.clear()
                 self._notify(events.RequestAborted(request.request_id))
             if request.answers:
@@ -172,7 +172,7 @@
                 if isinstance(answer, Attempt):
                     request.attempt_started_at, request.opening_sent = self.clock(), False
                     if request.endpoint_id in self.balancer.endpoints.cordoned:
-                        # Cordoned since the balancer chose it: it is asked for another.
+                        # Cordoned since the balancer chose it: ask the balancer for another.
                         self.report_outcome(request, AttemptOutcome.NOT_SENT)
                         continue
                 return answer
@@ -182,11 +182,11 @@
             yield request.deadline
 
     def may_start_attempt(self, request: Request) -> bool:
-        """Whether the attempt under way, whose opening can be sent now, still may be made."""
+        """Whether the attempt under way may still be made, now that its opening can be sent."""
         return self.balancer.may_start_attempt(max(self.clock(), self.balancer.now), request.request_id)
 
     def report_outcome(self, request: Request, outcome: AttemptOutcome) -> None:
-        """How the attempt under way ended, ESTABLISHED included, or how the established connection ended."""
+        """Report how the attempt under way (ESTABLISHED included) or the established connection ended."""
         if not request.is_tracked:
             return
         elapsed = self.clock() - request.attempt_started_at
@@ -202,10 +202,10 @@
         self._notify(events.AttemptEnded(*attempt, BALANCER_OUTCOMES[outcome], elapsed, is_final))
 
     def report_load_or_latency(self, request: Request, level: float) -> None:
-        """What an endpoint reports of an established connection.
+        """Pass on what an endpoint reported of an established connection.
 
-        ``level`` is its load, or how many milliseconds a message takes, whichever of the two the endpoints
-        of this deployment report.
+        ``level`` is its load or its milliseconds per message, whichever of the two the endpoints of this
+        deployment report.
         """
         if not (request.is_established and request.is_tracked and math.isfinite(level)):
             return
@@ -217,7 +217,7 @@
             self._notify(events.LatencyReported(*attempt, level))
 
     def abandon(self, request: Request) -> None:
-        """The client has left, or was answered, before the balancer was done with the request."""
+        """Drop a request whose client has left or was answered before the balancer had finished with it."""
         if request.is_tracked:
             self._untrack(request)
             request.answers.clear()
@@ -225,7 +225,7 @@
 
     def _track(self, request: Request) -> events.RequestArrived:
         self._last_request_id += 1
-        # A class is a position, and new settings may have given that position to another class since.
+        # A class is identified by its position, which newer settings may have given to another class.
         class_index: int | None = request.class_index
         if request.request_class is not None:
             class_index = self.config.classes.get(request.class_name)
@@ -249,17 +249,17 @@
         self._requests.pop(request.request_id, None)
         request.is_tracked = False
 
-    # --- connections that are established already ---
+    # --- connections that are already established ---
 
     def adopt(self, request: Request) -> None:
-        """The request's connection to ``adopted_endpoint`` is established already."""
+        """Track a request whose connection to ``adopted_endpoint`` is already established."""
         endpoint_id = self.endpoint_ids.get(request.adopted_endpoint, 0)
         arrived = self._track(request)
         request.attempt_number, request.endpoint_id, request.is_established = 0, endpoint_id, True
         self._notify(events.ConnectionAdopted(arrived, endpoint_id))
 
     def export_connection(self, request: Request) -> ConnectionSnapshot:
-        """An established connection as another process of this proxy takes it over."""
+        """Describe an established connection for another process of this proxy."""
         request_class = request.request_class or self.settings.classes[request.class_index]
         tenants = [name for name, position in self.config.tenants.items() if position == request.tenant_index]
         return ConnectionSnapshot(
@@ -274,7 +274,7 @@
         )
 
     def import_connection(self, snapshot: ConnectionSnapshot) -> Request:
-        """The request of a connection that another process has handed over, to be adopted."""
+        """Create the request of a connection that another process has handed over, to be adopted."""
         self.register_endpoint(snapshot.endpoint)
         return Request(
             class_index=-1,
@@ -292,16 +292,16 @@
     # --- endpoints ---
 
     def cordon_by_name(self, endpoint: str, cordoned: bool, uncordoned_at: int = 0) -> None:
-        """Cordon or uncordon an endpoint, also one that no list has named yet."""
+        """Cordon or uncordon an endpoint, even if no list has named it yet."""
         self.register_endpoint(endpoint)
         self.cordon(endpoint, cordoned, uncordoned_at)
 
     def register_endpoint(self, endpoint: str) -> None:
-        """Give an endpoint its id before any list has named it."""
+        """Assign an endpoint its id, even if no list has named it yet."""
         self.endpoint_ids.assign(endpoint)
 
     def update_endpoints(self, update: EndpointListUpdate | None) -> None:
-        """An update of the endpoint list; None for a call to the discovery service that failed."""
+        """Apply an update of the endpoint list; None if a call to the discovery service failed."""
         if update is None:
             self._notify(events.EndpointUpdate(UpdateKind.FAILED))
             return
@@ -322,18 +322,19 @@
     def report_health_check(
         self, endpoint: str, succeeded: bool, elapsed: int, report: dict[str, float]
     ) -> None:
-        """How a health check ended; ``report`` holds the fields that the endpoint reported, by name.
+        """Report how a health check ended; ``report`` holds the fields that the endpoint reported, by name.
 
-        A field that it did not report is no number to the balancer, and not 0: it would count as idle.
+        A field that it did not report is passed as NaN: the balancer would take 0 for an idle endpoint.
         """
         values = tuple(report.get(name, math.nan) for name in self.settings.report_fields) if report else ()
         outcome = Outcome.OK if succeeded else Outcome.ERROR
         self._notify(events.HealthCheckEnded(self.endpoint_ids[endpoint], outcome, elapsed, values))
 
     def cordon(self, endpoint: str, cordoned: bool, uncordoned_at: int = 0) -> bool:
-        """Cordon or uncordon an endpoint (at a time that another process reports); False if it is unknown.
+        """Cordon or uncordon an endpoint; False if it is unknown.
 
-        Attempts there that have sent nothing yet are cancelled.
+        ``uncordoned_at`` is set where another process reports the time. Attempts at the endpoint that have
+        sent nothing yet are cancelled.
         """
         endpoint_id = self.endpoint_ids.get(endpoint)
         if endpoint_id is None:
@@ -348,7 +349,7 @@
         return True
 
     def connection_and_attempt_count(self, endpoint: str) -> int:
-        """Established connections at an endpoint, and attempts that may still become such."""
+        """Established connections at an endpoint, plus attempts that may still become established."""
         endpoint_id = self.endpoint_ids.get(endpoint, 0)
         return sum(
             request.endpoint_id == endpoint_id and (request.is_established or request.attempt_number >= 0)
@@ -380,19 +381,19 @@
 
     @property
     def unavailable_count(self) -> int:
-        """Endpoints in the list that the balancer avoids now."""
+        """Endpoints in the list that the balancer currently avoids."""
         return self.balancer.unavailable_count()
 
     # --- settings and timers ---
 
     def update_settings(self, config: Config) -> None:
-        """New settings, for all that happens from now on."""
+        """Apply new settings to everything that happens from now on."""
         previous_classes = tuple(self.config.classes.get(name, -1) for name in config.classes)
         self.config, self.settings = config, config.settings
         self._notify_settings(previous_classes)
 
     def set_proxy_count(self, count: int | None) -> None:
-        """So many proxies share limits and quotas; None: as many as the settings say."""
+        """Set how many proxies share limits and quotas; None: the number in the settings."""
         if count != self.proxy_count:
             self.proxy_count = count
             self._notify_settings(tuple(range(len(self.settings.classes))))
@@ -405,7 +406,7 @@
         self._notify(events.SettingsUpdated(settings, previous_classes))
 
     def run_timers(self, now: int) -> PendingWork:
-        """Run the timers that are due; what the balancer wants done, and when to call this again."""
+        """Run the timers that are due; returns the pending work and when to call this again."""
         due = []
         while self._timers and self._timers[0][0] <= now:
             due.append(events.TimerFired(heapq.heappop(self._timers)[1]))
--- a/arrowseam/endpoint_list.py
+++ b/arrowseam/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoints as the balancer knows them: an integer id for each name, and updates of the list of endpoints."""
+"""Endpoints as the balancer knows them: an integer id for each name, and updates of the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A list of endpoints or a change of it, and the address (HOST:PORT) of each of them that has one.
+    """An endpoint list or a change to it, and the address (HOST:PORT) of each endpoint that has one.
 
     ``more_follows``: the rest of the same change comes with the next update.
     """
@@ -30,9 +30,9 @@
         self.names: dict[int, str] = {}
 
     def assign(self, name: str) -> int:
-        """The id of an endpoint, made from its name so that all proxies and processes use the same.
+        """The id of an endpoint, a hash of its name so that all proxies and processes use the same.
 
-        If two names have the same hash, the one that comes later gets the next free id.
+        If the hashes of two names collide, the later name gets the next free id.
         """
         if name not in self:
             digest = hashlib.blake2b(name.encode("utf-8", "surrogatepass"), digest_size=4).digest()
--- a/arrowseam/errors.py
+++ b/arrowseam/errors.py
@@ -1,11 +1,11 @@
-"""The root of all errors that arrowseam raises on purpose."""
+"""The base class of all errors that arrowseam raises deliberately."""
 
 from __future__ import annotations
 
 
 class ArrowseamError(Exception):
-    """Something is not as it must be; the message is one plain line that names the place and the reason."""
+    """The base class; the message is one line that names the place and the reason."""
 
 
 class UsageError(ArrowseamError, ValueError):
-    """An internal interface was called in a way that cannot be meant; the message names the wrong value."""
+    """An internal interface was called with an invalid argument; the message names the value."""
--- a/arrowseam/process_signals.py
+++ b/arrowseam/process_signals.py
@@ -1,8 +1,8 @@
-"""Signals of a proxy's process outside the event loop: while it starts, and while it ends.
+"""Signal handling of a proxy's process outside the event loop: during start-up and interpreter shutdown.
 
-Python gives a signal its default action back before the interpreter ends, and has that action until a handler
-is set: SIGHUP, SIGTERM or SIGINT would end the process by the signal, which a supervisor takes for a crash.
-So they are recorded from the first line of the program until the loop handles them, and ignored after it.
+Until a handler is set, and again while the interpreter shuts down, a signal has its default action: SIGHUP,
+SIGTERM or SIGINT would kill the process, which a supervisor takes for a crash. So signals are recorded from
+the first line of the program until the event loop handles them, and ignored after the loop has ended.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 
 def record_signals() -> None:
-    """Keep the signals that come from now on for ``replay_signals``; processes started meanwhile do not."""
+    """Record signals from now on for ``replay_signals``; child processes do not inherit this."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, _record)
 
 
 def is_termination_recorded() -> bool:
-    """Return whether the process was told to end before the event loop runs."""
+    """Return whether a termination signal was recorded before the event loop runs."""
     return not _recorded.isdisjoint(TERMINATION_SIGNALS)
 
 
 def replay_signals() -> None:
-    """Send the recorded signals again, now that they have their handlers; each once."""
+    """Raise each recorded signal once more, now that its handler is set."""
     while _recorded:
         signal.raise_signal(_recorded.pop())
 
 
 def ignore_signals() -> None:
-    """Let no signal end the process any more; ignored ones stay so while the interpreter ends."""
+    """Ignore the handled signals from now on, also while the interpreter shuts down."""
     for number in HANDLED_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
--- a/arrowseam/request_handling/__init__.py
+++ b/arrowseam/request_handling/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request: attempts, established connections, migration and graceful shutdown."""
+"""The path of a request: attempts, established connections, migration and graceful shutdown."""
--- a/arrowseam/request_handling/attempts.py
+++ b/arrowseam/request_handling/attempts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from arrowseam.address import Address, parse_address
-from arrowseam.client_request import Attempt, NoAnswerOwed, Rejected, Request
+from arrowseam.client_request import Attempt, ClientDisconnected, Rejected, Request
 from arrowseam.driver import BalancerDriver
 from arrowseam.logs import log
 from arrowseam.net.clock import MS, SECOND, clock
@@ -27,7 +27,7 @@
         self.driver, self.statistics, self.trace = driver, statistics, trace
 
     def establish(self, request: Request, session: ClientSession) -> Coroutine[bool]:
-        """Try endpoint after endpoint as the balancer says.
+        """Try one endpoint after another, as the balancer chooses them.
 
         True once the connection is established; False after a final answer, or if the client has left.
         """
@@ -48,7 +48,7 @@
                     yield from session.close_gracefully(clock() + CLOSE_TIMEOUT)
                     return False
                 self.driver.report_outcome(request, outcome)
-            elif isinstance(answer, NoAnswerOwed):
+            elif isinstance(answer, ClientDisconnected):
                 return False
             elif isinstance(answer, Rejected):
                 self.trace.rejected(request, answer.retry_after_ms)
@@ -75,7 +75,7 @@
         return outcome
 
     def reestablish(self, request: Request, session: ClientSession) -> Coroutine[bool]:
-        """Connect a client to the endpoint where its connection ran before this process began.
+        """Connect a client to the endpoint that had its connection before this process started.
 
         No other endpoint has the connection's state, so none is tried. False after a final answer, or if the
         client has left.
@@ -95,7 +95,7 @@
                     return True
                 log(
                     "connection.not_adopted",
-                    f"established connection {request.name} at {endpoint}: {outcome}",
+                    f"connection {request.name} not re-established at {endpoint}: {outcome}",
                 )
             if clock() + RECONNECT_INTERVAL >= request.deadline:
                 self.statistics.record_answer(request, FinalAnswer.FAILED)
@@ -107,7 +107,7 @@
         return False
 
     def endpoint_address(self, endpoint: str) -> Address | None:
-        """Where an endpoint is reached; None if no list has said so, or not in the form HOST:PORT."""
+        """The address of an endpoint; None if no list has given one in the form HOST:PORT."""
         text = self.driver.addresses.get(endpoint)
         try:
             return parse_address(text) if text else None
--- a/arrowseam/request_handling/connections.py
+++ b/arrowseam/request_handling/connections.py
@@ -1,4 +1,4 @@
-"""Established connections: forwarding from the moment a connection is established to its end."""
+"""Established connections: forwarding until the connection ends."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from arrowseam.request_handling.statistics import RequestStatistics
 from arrowseam.request_handling.tracing import RequestTrace
 
-# An endpoint that answers no message for so long counts as lost: one that works answers
-# within a millisecond. This detects a machine that vanishes without closing its connections; otherwise its
-# clients would wait until the system's own timeout, which takes minutes.
+# An endpoint that answers no message for this long counts as lost: a working one answers within a
+# millisecond. This detects a machine that vanishes without closing its connections; otherwise its clients
+# would wait for the TCP timeout, which takes minutes.
 REPLY_TIMEOUT = SECOND
 CLOSE_TIMEOUT = SECOND
 HANDOVER_RETRY_INTERVAL = 20 * MS
@@ -47,7 +47,7 @@
             if waiting_since is not None:
                 reply_due = waiting_since + REPLY_TIMEOUT
                 if clock() >= reply_due:
-                    yield from self._leave_lost_endpoint(request, session)
+                    yield from self._migrate_from_lost_endpoint(request, session)
                     return
                 wake_at = reply_due if wake_at is None else min(wake_at, reply_due)
             if request.migration_requested:
@@ -55,10 +55,10 @@
                 return
             if self.migration.hand_over is not None:
                 if self.migration.hand_over(request, session):
-                    # Closing our copies of the sockets ends nothing: the other process has them too.
+                    # Closing our copies of the sockets does not end it: the other process has its own.
                     self.driver.report_outcome(request, AttemptOutcome.MIGRATED)
                     return
-                # In the middle of a message, or the channel is full.
+                # A message is incomplete, or the channel to the other process is full.
                 wake_at = clock() + HANDOVER_RETRY_INTERVAL
             yield wake_at
 
@@ -72,7 +72,7 @@
         request.is_finished = True
         yield from session.close_gracefully(clock() + CLOSE_TIMEOUT)
 
-    def _leave_lost_endpoint(self, request: Request, session: ClientSession) -> Coroutine[None]:
+    def _migrate_from_lost_endpoint(self, request: Request, session: ClientSession) -> Coroutine[None]:
         log("connection.unanswered", f"migrated: {request.name}, its endpoint answers nothing")
         self.driver.report_outcome(request, AttemptOutcome.RESET)
         request.is_finished = True
--- a/arrowseam/request_handling/migration.py
+++ b/arrowseam/request_handling/migration.py
@@ -1,4 +1,4 @@
-"""How established connections leave: for another endpoint, or for another process of this proxy."""
+"""Moves established connections to another endpoint, or to another process of this proxy."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from arrowseam.protocols.session import ClientSession
 from arrowseam.request_handling.tracing import RequestTrace
 
-MESSAGE_TIMEOUT = SECOND  # to tell the client, between two messages
+MESSAGE_TIMEOUT = SECOND  # for sending the migration message, between two forwarded messages
 
 
 def _nothing_pending() -> bool:
@@ -20,12 +20,12 @@
 
 
 class Migration:
-    """Migrates connections; while a hot restart hands them over, says how.
+    """Migrates connections, and keeps the callbacks that hand them over during a hot restart.
 
     Attributes:
         hand_over: sends a connection to the new process, False if that is not possible now; None = no hot
             restart is under way, or this is the new process.
-        is_handover_pending: whether some of what was handed over is not yet sent.
+        is_handover_pending: whether data of handed-over connections is still to be sent.
     """
 
     def __init__(self, driver: BalancerDriver, trace: RequestTrace) -> None:
@@ -35,7 +35,7 @@
 
     @property
     def is_handing_over(self) -> bool:
-        """Whether established connections go to another process."""
+        """Whether established connections are handed to another process."""
         return self.hand_over is not None
 
     def request_migration(self, request: Request) -> None:
--- a/arrowseam/request_handling/requests.py
+++ b/arrowseam/request_handling/requests.py
@@ -1,8 +1,7 @@
-"""The way of a request: from a client's opening to the end of its connection.
+"""Serves requests, each from the client's opening to the end of its connection.
 
-It owns the order of things: one attempt at a time, one final answer, then the established connection, its
-migration or its end. Protocols hand in a ``ClientSession``; the balancer, through its driver, chooses
-endpoints.
+It enforces the order: one attempt at a time, one final answer, then the established connection until its
+migration or end. Protocols supply a ``ClientSession``; the balancer, through its driver, chooses endpoints.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 from arrowseam.request_handling.statistics import FinalAnswer, RequestStatistics
 from arrowseam.request_handling.tracing import RequestTrace
 
-RETRY_AFTER_MS = 500  # for rejections that are not the balancer's
+RETRY_AFTER_MS = 500  # for rejections that the balancer did not decide
 
 
 def _do_nothing() -> None:
@@ -35,9 +34,9 @@
     """Serves the requests of all protocols.
 
     Attributes:
-        active: every request that is not over, by a number of its own.
+        active: the requests in progress, by a number that is local to this process.
         refresh_endpoints: asks the discovery service for the endpoint list; True = for the complete one.
-        check_health: begins a health check of an endpoint. Both are set once the parts are wired.
+        check_health: starts a health check of an endpoint. Both are set when the proxy is assembled.
     """
 
     def __init__(self, loop: EventLoop, driver: BalancerDriver) -> None:
@@ -61,12 +60,12 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether this process shuts down."""
+        """Whether this process is shutting down."""
         return self.shutdown.is_draining
 
     @property
     def is_closing(self) -> bool:
-        """Whether nobody is accepted any more, and clients without a request are rejected."""
+        """Whether the listeners are closed and clients without a request are rejected."""
         return self.shutdown.is_closing
 
     @property
@@ -76,19 +75,19 @@
 
     @property
     def connection_count(self) -> int:
-        """Clients that are served, without those that were only told a final answer and have to close."""
+        """Clients in service, without those that have got their final answer and still have to close."""
         return sum(not request.is_finished for request in self.active.values())
 
     @property
     def retry_after_ms(self) -> int:
-        """For rejections that are not the balancer's; 0 if the settings allow none."""
+        """The retry time of rejections that the balancer did not decide; 0 if the settings allow none."""
         limits = self.config.settings.limits
         return min(RETRY_AFTER_MS, limits.max_retry_after // MS) if limits.retry_after_allowed else 0
 
     def run_balancer(self, now: int) -> int | None:
-        """Run the balancer's timers and do what it asks for, once a round of the event loop.
+        """Run the balancer's timers and carry out its actions, once per round of the event loop.
 
-        Returns when to call this again at the latest.
+        Returns the latest time for the next call.
         """
         pending = self.driver.run_timers(now)
         for text in pending.log_messages:
@@ -107,14 +106,14 @@
     def serve(self, request: Request, session: ClientSession) -> Coroutine[None]:
         """Serve a client from the opening that its protocol has read to the end of its connection."""
         if self.is_draining and not self.migration.is_handing_over:
-            # Read after the shutdown began: its answer might not come in time.
+            # Its opening was read after the shutdown began: an endpoint might answer too late.
             self.statistics.record_answer(request, FinalAnswer.REJECTED)
             yield from session.send_rejection(self.retry_after_ms)
             return
         yield from self._run(request, session, self._connect_and_serve)
 
     def take_over(self, request: Request, session: ClientSession) -> Coroutine[None]:
-        """Go on with a connection that was established at another process of this proxy."""
+        """Continue a connection that was established by another process of this proxy."""
         yield from self._run(request, session, self._adopt_and_serve)
 
     def _run(
@@ -133,7 +132,7 @@
         try:
             yield from serve(request, session)
         except Exception:
-            # A fault must neither leave the balancer with a request that is gone nor a client unanswered.
+            # After an unexpected error the balancer must drop the request, and the client needs an answer.
             self.driver.abandon(request)
             if not request.is_established:
                 self.statistics.record_answer(request, FinalAnswer.FAILED)
@@ -143,7 +142,7 @@
             session.close()
             self.driver.abandon(request)
             del self.active[number]
-            # These make cycles of references, which only the garbage collector would free.
+            # These callbacks form reference cycles, which only the garbage collector would free.
             request.release_callbacks()
             session.on_opening_sent = _do_nothing
             session.may_send_opening = bool
@@ -167,7 +166,7 @@
         self.statistics.openings_sent += 1
 
     def _may_send_opening(self, request: Request) -> bool:
-        """Whether the opening may be sent now: the client is there, and nothing has cancelled the attempt."""
+        """Whether the opening may be sent now: the client is connected, and the attempt is not cancelled."""
         self.loop.poll_if_stale()
         if request.adopted_endpoint:
             return not request.has_client_left()
@@ -178,7 +177,7 @@
     def begin_handover(
         self, hand_over: Callable[[Request, ClientSession], bool], is_pending: Callable[[], bool]
     ) -> None:
-        """From now on established connections go to another process, new ones once they are established."""
+        """Hand over established connections from now on, new ones once they are established."""
         self.migration.hand_over, self.migration.is_handover_pending = hand_over, is_pending
         for request in self.active.values():
             request.wake()
--- a/arrowseam/request_handling/shutdown.py
+++ b/arrowseam/request_handling/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: established connections are migrated, everyone else is answered, then the process ends.
+"""Graceful shutdown: established connections are migrated, other clients are answered, the process exits.
 
 The time that it may take follows from the longest deadline of a class: a client that is asked to reconnect
-in the last moment still has to be served elsewhere.
+at the last moment must still be served elsewhere.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from arrowseam.net.task import Coroutine
 from arrowseam.request_handling.migration import Migration
 
-MIGRATION_DELAY = 450 * MS  # clients are still sent here for a while after the signal
-DEADLINE_MAX = 3 * SECOND  # a longer deadline counts as this
-TIME_AFTER_DEADLINE = 700 * MS  # from the deadline to the end of the process
+MIGRATION_DELAY = 450 * MS  # clients are still routed here for a while after the signal
+DEADLINE_MAX = 3 * SECOND  # longer deadlines are treated as this
+TIME_AFTER_DEADLINE = 700 * MS  # from the longest deadline to the end of the process
 LAST_MIGRATION_BEFORE_END = 1100 * MS
-LISTENING_AFTER_FIRST_MIGRATION = 150 * MS  # at least
-FORCED_END_BEFORE_END = 100 * MS  # clients that were answered and do not close are left then
+LISTENING_AFTER_FIRST_MIGRATION = 150 * MS  # minimum
+FORCED_END_BEFORE_END = 100 * MS  # answered clients that have not closed are dropped then
 MIGRATION_INTERVAL = 50 * MS  # between two batches
-CLOSING_INTERVAL = 20 * MS  # between two looks once nobody is accepted any more
+CLOSING_INTERVAL = 20 * MS  # between two checks once the listeners are closed
 
 
 class GracefulShutdown:
@@ -33,11 +33,11 @@
 
     The end is ``TIME_AFTER_DEADLINE`` after the longest deadline, counted from the signal: the process may be
     killed then. Migrations begin ``MIGRATION_DELAY`` after the signal and are spread evenly up to
-    ``LAST_MIGRATION_BEFORE_END`` before the end. Then the listeners close, what waits is answered, and the
-    process exits when nothing is left, at the latest ``FORCED_END_BEFORE_END`` before the end.
+    ``LAST_MIGRATION_BEFORE_END`` before the end. Then the listeners close, waiting requests are answered,
+    and the process exits when none is left, at the latest ``FORCED_END_BEFORE_END`` before the end.
 
     Attributes:
-        listeners: those that accept clients; closed near the end.
+        listeners: the listeners for clients; closed near the end.
         is_draining: the shutdown has begun.
         is_closing: the listeners are closed; a client that has not sent its request yet is answered.
     """
@@ -57,17 +57,17 @@
         self.is_closing = False
 
     def begin(self) -> None:
-        """Begin to drain; the event loop stops when that is done."""
+        """Start draining; the event loop stops when that is done."""
         if not self.is_draining:
             self.is_draining = True
             log("drain.begun", f"draining: {len(self.active)} requests")
             self.loop.start_task(self._drain(clock()), "drain")
 
     def _drain(self, begun_at: int) -> Coroutine[None]:
-        """Spread the migrations over the time there is; at the last moment answer all who wait.
+        """Spread the migrations over the available time, then answer all waiting requests.
 
-        Clients that connect meanwhile are accepted and rejected. Nobody is accepted after the last moment,
-        and the process does not wait for clients that were answered and do not close.
+        Clients that connect meanwhile are accepted and rejected. After the last migration none are accepted,
+        and the process does not wait for answered clients that do not close.
         """
         deadline = min(self.driver.config.longest_deadline, DEADLINE_MAX)
         end = begun_at + deadline + TIME_AFTER_DEADLINE
@@ -94,7 +94,7 @@
         self.loop.stopped = True
 
     def _migrate_some(self, time_left: int | None) -> None:
-        """Migrate an even part of the connections that are left; all of them if no time is left."""
+        """Migrate an equal share of the remaining connections; all of them if no time is left."""
         established = [
             request
             for request in self.active.values()
@@ -108,7 +108,7 @@
             self.migration.request_migration(request)
 
     def _answer_waiting(self) -> None:
-        """Requests that are not established get their final answer now."""
+        """Have all requests that are not established answered now."""
         for request in self.active.values():
             if not request.is_established and not request.is_aborted:
                 request.is_aborted = True
--- a/arrowseam/request_handling/statistics.py
+++ b/arrowseam/request_handling/statistics.py
@@ -1,4 +1,4 @@
-"""What has happened to requests since the process began, counted where it happens."""
+"""Counters of requests since the process started, updated where the events occur."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FinalAnswer(StrEnum):
-    """A client's final answer; the values stand in the names of counters."""
+    """A client's final answer; the values are part of counter names."""
 
     SUCCESS = "success"
     REJECTED = "overload"
@@ -24,8 +24,9 @@
     Attributes:
         answers: final answers by class name and kind. A request counts once, and a class that is dropped
             from the settings keeps its counts.
-        connection_resets: established connections that an endpoint's side broke; silent ones are logged only.
-        established: connections that were established from scratch.
+        connection_resets: established connections reset on the endpoint's side; unanswered ones are only
+            logged.
+        established: connections that were newly established, not adopted.
         establish_time_log_sum: sum of the natural logarithms of their times in milliseconds, for a
             geometric mean.
         openings_sent: openings that were completely written to an endpoint.
@@ -41,11 +42,11 @@
         self.reloads_failed = 0
 
     def record_answer(self, request: Request, answer: FinalAnswer) -> None:
-        """The client's final answer is decided; unless it is a success, the request is finished."""
+        """Count a client's final answer; unless it is a success, the request is finished."""
         self.answers[request.class_name, answer.value] += 1
         request.is_finished = answer is not FinalAnswer.SUCCESS
 
     def record_established(self, started_at: int) -> None:
-        """A connection was established that was asked for at ``started_at``."""
+        """Count a connection that was requested at ``started_at`` and is now established."""
         self.established += 1
         self.establish_time_log_sum += math.log(max(1.0, (clock() - started_at) / MS))
--- a/arrowseam/request_handling/tracing.py
+++ b/arrowseam/request_handling/tracing.py
@@ -19,7 +19,7 @@
     def attempt_ended(
         self, request: Request, endpoint: str, outcome: AttemptOutcome, started_at: int
     ) -> None:
-        """An attempt has ended, ESTABLISHED included."""
+        """Log how an attempt ended, ESTABLISHED included."""
         if not self.enabled:
             return
         elapsed_ms = (clock() - started_at) // MS
@@ -35,7 +35,7 @@
         )
 
     def rejected(self, request: Request, retry_after_ms: int) -> None:
-        """The balancer has rejected a request."""
+        """Log that the balancer has rejected a request."""
         if self.enabled:
             log(
                 "request.rejected",
@@ -47,7 +47,7 @@
     def connection_ended(
         self, request: Request, outcome: AttemptOutcome, awaiting_reply_since: int | None
     ) -> None:
-        """An established connection has ended."""
+        """Log how an established connection ended."""
         if not self.enabled:
             return
         unanswered = ""
@@ -61,7 +61,7 @@
         )
 
     def migrated(self, request: Request) -> None:
-        """The client of an established connection is asked to reconnect."""
+        """Log that the client of an established connection is asked to reconnect."""
         if self.enabled:
             log("connection.migrated", f"migrated: {request.name} off {self._endpoint(request)}", "debug")
 
