--- a/arrowseam/lab/soak_mutants.py
+++ b/arrowseam/lab/soak_mutants.py
@@ -41,8 +41,8 @@
 def _overlook_drains() -> None:
     original = DiscoveryClient._apply  # noqa: SLF001
 
-    def apply(self: DiscoveryClient, document: Any, read: Any, is_cached: bool = False) -> None:
-        is_complete, version, records = read
+    def apply(self: DiscoveryClient, document: Any, decoded: Any, is_cached: bool = False) -> None:
+        is_complete, version, records = decoded
         ready = [record._replace(state="Ready") for record in records]
         original(self, document, (is_complete, version, ready), is_cached)
 
--- a/arrowseam/protocols/discovery.py
+++ b/arrowseam/protocols/discovery.py
@@ -1,6 +1,6 @@
-"""The client of the discovery service: the endpoint list and its watch, by HTTP long polls.
+"""The client of the discovery service: fetches the endpoint list and watches it by HTTP long polls.
 
-It owns the connection to the service, the list as last received, and when the next poll is due. It must never
+It owns the connection to the service, the list as last received, and the time of the next poll. It must never
 act on a list itself, have more than one call under way, or let an invalid response replace the list.
 """
 
@@ -24,17 +24,16 @@
 from arrowseam.net.task import Coroutine, Task
 from arrowseam.protocols.http_client import HttpCallError, HttpClient, describe_protocol_error
 
-# A long poll. Its changes count as notified 2 s after its end, and 6 s after the watch fell silent: polls are
-# short, so that a lost call is noticed early, but not so short that empty responses load a service which all
-# proxies share.
+# The wait of a long poll. A change counts as notified 2 s after the end of the poll, and 6 s after the watch
+# fell silent: polls are short enough to notice a lost call early, but not so short that empty responses load
+# a service which all proxies share.
 POLL_WAIT = 4 * SECOND
-POLL_OVERTIME = SECOND  # by so much later than the wait the response may come
-COMPLETE_LIST_TIMEOUT = 3500 * MS  # for a response with the complete list
-# Where an agent beside the proxy has the list, polling costs nobody else anything, and what the agent has
-# counts as notified at once: the wait, its overtime and the pause after it are each this part of the time
-# that a draining endpoint leaves.
-AGENT_POLL_PART = 4
-POLL_INTERVAL_MIN = 100 * MS  # between the starts of two polls if the first brought no new version
+POLL_GRACE = SECOND  # by this much the response may exceed the wait
+COMPLETE_LIST_TIMEOUT = 3500 * MS  # of a call for the complete list
+# Where a local agent has the list, polling loads no shared service, and the agent's list counts as notified
+# at once: the wait, its grace and the pause after it are each the drain grace divided by this.
+AGENT_POLL_DIVISOR = 4
+POLL_INTERVAL_MIN = 100 * MS  # between the starts of two polls if the first returned no new version
 TARGETS_PATH = "/api/targets"
 
 
@@ -42,14 +41,14 @@
     """Polls the discovery service while it is asked to, and delivers each list and each change.
 
     Attributes:
-        address: HOST:PORT of the service; empty: there is none, endpoints come from files.
+        address: HOST:PORT of the service; empty if there is none and endpoints come from files.
         version: of the list.
-        entries: the list in the service's own form, by endpoint.
+        entries: the list in the service's own format, by endpoint.
         needs_complete_list: the next call asks for the complete list, not for changes.
-        is_requested: polling goes on until a call fails.
+        is_requested: polling is requested; reset when a call fails.
         trace: log every response.
         http_client: the connection to the service.
-        task: the polling task, once it was started.
+        task: the polling task, once it is started.
     """
 
     def __init__(
@@ -79,21 +78,21 @@
             self._apply(document, read_records(document), is_cached=True)
             self.needs_complete_list = False
         except ConfigError as error:
-            log("discovery.invalid_initial_list", f"discovery: the list at the start is no list: {error}")
+            log("discovery.invalid_initial_list", f"discovery: invalid initial list: {error}")
 
-    # --- what the proxy asks for ---
+    # --- called by the proxy ---
 
     def start(self) -> None:
-        """Begin to poll where an agent has the list.
+        """Start polling where an agent has the list.
 
-        Guards against a proxy that keeps the list of its start: the agent does not send changes by itself,
-        and nothing else makes the proxy poll.
+        Guards against a proxy that keeps its initial list: the agent does not push changes, and nothing else
+        makes the proxy poll.
         """
         if not self.config.settings.watch_discovery:
             self.request_update(complete=False)
 
     def request_update(self, complete: bool) -> None:
-        """Poll from now on; with ``complete`` get the complete list first."""
+        """Poll from now on; with ``complete`` fetch the complete list first."""
         if not self.address:
             return
         self.is_requested = True
@@ -103,14 +102,14 @@
         self.loop.wake(self.task)
 
     def switch_to(self, address: str) -> None:
-        """Use another service from now on, also in the middle of a call.
+        """Use another service from now on, even in the middle of a call.
 
-        The list stays in effect until the new service has sent its complete list: versions there may count
-        from another start.
+        The list stays in effect until the new service has sent its complete list: its versions may be
+        numbered differently.
         """
         if address == self.address:
             return
-        log("discovery.switched", f"discovery: {self.address} left for {address}")
+        log("discovery.switched", f"discovery: switched from {self.address} to {address}")
         self.address = address
         if self.task is not None:
             self.task.coroutine.close()
@@ -121,16 +120,16 @@
         self.request_update(complete=True)
 
     def export_list(self) -> dict[str, Any]:
-        """The list in the service's own form, for another process of this proxy."""
+        """The list in the service's own format, for another process of this proxy."""
         return {"generation": self.version, "reset": True, "instances": list(self.entries.values())}
 
     # --- the list ---
 
     def _apply(
-        self, document: Any, read: tuple[bool, int, list[EndpointRecord]], is_cached: bool = False
+        self, document: Any, decoded: tuple[bool, int, list[EndpointRecord]], is_cached: bool = False
     ) -> None:
-        """Put a valid list or change in effect; ``read`` is ``document`` as decoded."""
-        is_complete, self.version, members = read
+        """Apply a valid list or change; ``decoded`` holds the records of ``document``."""
+        is_complete, self.version, records = decoded
         kind = update_kind(is_complete, is_cached)
         if kind is not UpdateKind.DELTA:
             self.entries.clear()
@@ -138,10 +137,10 @@
             self.entries[entry["instanceId"]] = entry
             if entry["lifecycle"] == "Gone":
                 del self.entries[entry["instanceId"]]
-        self.deliver(kind, self.version, members)
+        self.deliver(kind, self.version, records)
 
-    def _update_driver(self, kind: UpdateKind, version: int, members: list[EndpointRecord]) -> None:
-        update = create_update(kind, version, members, self.config, self.driver.endpoint_ids)
+    def _update_driver(self, kind: UpdateKind, version: int, records: list[EndpointRecord]) -> None:
+        update = create_update(kind, version, records, self.config, self.driver.endpoint_ids)
         self.driver.update_endpoints(update)
 
     # --- polling ---
@@ -151,12 +150,12 @@
             while not self.is_requested:
                 yield None
             started_at, version = clock(), self.version
-            # Asked for again while this call is under way, the complete list is asked for after it.
-            asks_complete, self.needs_complete_list = self.needs_complete_list, False
+            # A request for the complete list during this call is served after it.
+            asks_for_complete_list, self.needs_complete_list = self.needs_complete_list, False
             try:
-                yield from self._poll(address, asks_complete)
+                yield from self._poll(address, asks_for_complete_list)
             except (HttpCallError, h11.ProtocolError) as error:
-                self.needs_complete_list |= asks_complete
+                self.needs_complete_list |= asks_for_complete_list
                 self._on_failure(error)
                 continue
             if self.trace:
@@ -165,38 +164,38 @@
             while self.version == version and clock() < next_at:
                 yield next_at
 
-    def _poll(self, address: Address, asks_complete: bool) -> Coroutine[None]:
+    def _poll(self, address: Address, asks_for_complete_list: bool) -> Coroutine[None]:
         """One call; raises HttpCallError or h11.ProtocolError."""
-        if asks_complete:
-            wait, overtime, query = 0, COMPLETE_LIST_TIMEOUT, ""
+        if asks_for_complete_list:
+            wait, grace, query = 0, COMPLETE_LIST_TIMEOUT, ""
         else:
-            wait, overtime = self._poll_times()
+            wait, grace = self._poll_times()
             query = f"?since={self.version}&timeout_ms={wait // MS}"
-        deadline = clock() + wait + overtime
+        deadline = clock() + wait + grace
         text = yield from self.http_client.get(address, self.address, TARGETS_PATH + query, deadline)
         try:
             document = json.loads(text)
-            read = read_records(document)
+            decoded = read_records(document)
         except (ValueError, RecursionError, ConfigError) as error:
-            raise HttpCallError(f"bad answer: {error}") from None
+            raise HttpCallError(f"invalid response: {error}") from None
         if document.get("generation") is None:
-            raise HttpCallError("bad answer: list: generation is missing")
-        self._apply(document, read)
+            raise HttpCallError("invalid response: list: generation is missing")
+        self._apply(document, decoded)
 
     def _poll_times(self) -> tuple[int, int]:
-        """How long a poll waits for changes, and by how much later its response may come."""
+        """How long a poll waits for changes, and by how much its response may exceed that."""
         settings = self.config.settings
         if settings.watch_discovery:
-            return POLL_WAIT, POLL_OVERTIME
-        part = max(POLL_INTERVAL_MIN, settings.rules.drain_grace // AGENT_POLL_PART)
-        return min(POLL_WAIT, part), min(POLL_OVERTIME, part)
+            return POLL_WAIT, POLL_GRACE
+        interval = max(POLL_INTERVAL_MIN, settings.rules.drain_grace // AGENT_POLL_DIVISOR)
+        return min(POLL_WAIT, interval), min(POLL_GRACE, interval)
 
     def _on_failure(self, error: HttpCallError | h11.ProtocolError) -> None:
         """The list stays in effect; the balancer decides when to poll again."""
-        why = str(error)
+        reason = str(error)
         if isinstance(error, h11.ProtocolError):
-            why = f"bad answer: {describe_protocol_error(error)}"
-        log("discovery.failed", f"discovery: call failed: {why}")
+            reason = f"invalid response: {describe_protocol_error(error)}"
+        log("discovery.failed", f"discovery: call failed: {reason}")
         self.http_client.close()
         self.is_requested = False
         self.driver.update_endpoints(None)
--- a/arrowseam/protocols/edge/health_check.py
+++ b/arrowseam/protocols/edge/health_check.py
@@ -14,14 +14,14 @@
 def check_endpoint(
     loop: EventLoop, driver: BalancerDriver, endpoint: str, address: Address | None
 ) -> Coroutine[None]:
-    """Ask one endpoint for its state and report the answer, or that none came, to the balancer."""
+    """Ask one endpoint for its state and report the answer, or the lack of one, to the balancer."""
     started_at = clock()
     deadline = started_at + (driver.settings.limits.connect_timeout or DEFAULT_CONNECT_TIMEOUT)
     conn = (yield from loop.connect(address, deadline)) if address else None
     line = b""
     if conn is not None:
-        question = messages.STATS_REQUEST if driver.settings.report_fields else messages.PING_REQUEST
-        if (yield from conn.send(question, deadline)):
+        request = messages.STATS_REQUEST if driver.settings.report_fields else messages.PING_REQUEST
+        if (yield from conn.send(request, deadline)):
             line = (yield from conn.read_line(messages.LINE_BYTES_MAX, deadline)) or b""
         conn.close()
     succeeded = line.startswith(messages.PONG)
--- a/arrowseam/protocols/edge/messages.py
+++ b/arrowseam/protocols/edge/messages.py
@@ -1,19 +1,19 @@
 """The lines of the platform's protocol: parsing and formatting, without I/O.
 
-The wire's names stay in this module; everything else sees the fields of ``Request``. An opening is
+The names on the wire are confined to this module; other code sees the fields of ``Request``. An opening is
 ``OPEN ID FLOW_KEY name=value,...`` with these names:
 
     c      request class, by name (required)
     t      tenant, by name
     d      how long the client waits, milliseconds from sending (required)
     g      affinity group, hexadecimal
-    h      expected load, microseconds of work a second
+    h      expected load, microseconds of work per second
     r      1: the client's own retry
     again  1: the client's connection broke or was migrated
-    at     an endpoint at which the connection ran before this process: it is adopted
+    at     the endpoint that had the connection before this process started: it is adopted
 
-``LOAD X`` from an endpoint is a connection's load or the milliseconds that a message takes there, as the
-settings say (``Settings.reports_load``, ``reports_latency``).
+``LOAD X`` from an endpoint is a connection's load or its milliseconds per message, depending on the
+settings (``Settings.reports_load``, ``reports_latency``).
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from arrowseam.outcomes import AttemptOutcome
 
 LINE_BYTES_MAX = 4096
-# The longest deadline that an adopted connection may name: the run counts it as lost after 40 s.
+# The longest deadline that an adopted connection may name: it counts as lost after 40 s.
 ADOPTION_DEADLINE = 38 * SECOND
 
 PING, PONG = b"PING", b"PONG"
@@ -39,18 +39,18 @@
 MIGRATION_LINE = b"MOVE\r\n"
 FAILURE_LINE = b"ERR\r\n"
 
-# What the first word of an endpoint's answer means, except that it took the client; the rest is an error.
-OUTCOME_OF_ANSWER = {
+# The outcome by the first word of an endpoint's answer, except ESTABLISHED; any other word is an error.
+OUTCOME_BY_ANSWER = {
     b"BUSY": AttemptOutcome.REJECTED,
     b"ERR": AttemptOutcome.ERROR,
     COMPLETED: AttemptOutcome.COMPLETED,
     MIGRATE: AttemptOutcome.MIGRATED,
 }
 
-# Only values of these forms are taken as numbers. int() and float() also accept signs, underscores, nan and
-# more, which endpoints don't, and a number of any length.
+# Only values that match these patterns are parsed as numbers. int() and float() also accept signs,
+# underscores, nan and more, which endpoints do not, and numbers of any length.
 _OPENING = re.compile(rb"OPEN ([0-9a-fA-F]{1,16}) ([0-9a-fA-F]{1,16}) ([!-~]+)")
-_VALUE_FORMS = {
+_VALUE_PATTERNS = {
     "d": re.compile(r"[0-9]{1,9}"),
     "g": re.compile(r"[0-9a-fA-F]{1,16}"),
     "h": re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?"),
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """A client's first line, parsed as far as is needed to place the request and to forward the line.
+    """A client's first line, parsed as far as is needed to route the request and to forward the line.
 
     Attributes:
         prefix: everything before the list of values.
         pairs: names and values in their order.
         connection_id: the client's id of the connection.
         flow_key: the key of the client's flow.
-        values: the same as ``pairs``.
+        values: the values of ``pairs`` by name.
     """
 
     prefix: bytes
@@ -80,25 +80,25 @@
     values: dict[str, str]
 
     def forwarded_line(self, wait_ms: int) -> bytes:
-        """The line for the endpoint: as it came, but for the time that the attempt may take."""
+        """The line for the endpoint: as received, except for the time that the attempt may take."""
         parts = [name + b"=" + (b"%d" % wait_ms if name == b"d" else value) for name, value in self.pairs]
         return self.prefix + b",".join(parts) + b"\r\n"
 
 
 def parse_opening(line: bytes) -> Opening:
-    """Parse a client's first line, without its line end; raises OpeningError."""
+    """Parse a client's first line, without its line terminator; raises OpeningError."""
     found = _OPENING.fullmatch(line)
     if found is None:
-        raise OpeningError("not OPEN ID KEY VALUES")
+        raise OpeningError("expected OPEN ID KEY VALUES")
     pairs = _parse_pairs(found[3])
     values = {name.decode(): value.decode() for name, value in pairs}
     if len(values) != len(pairs):
-        raise OpeningError("a name stands twice")
-    for name, form in _VALUE_FORMS.items():
-        if name in values and not form.fullmatch(values[name]):
-            raise OpeningError(f"{name} is not of its form")
+        raise OpeningError("duplicate name")
+    for name, pattern in _VALUE_PATTERNS.items():
+        if name in values and not pattern.fullmatch(values[name]):
+            raise OpeningError(f"malformed value of {name}")
     if "c" not in values or "d" not in values:
-        raise OpeningError("c and d are needed")
+        raise OpeningError("c and d are required")
     return Opening(line[: found.start(3)], tuple(pairs), found[1].decode(), int(found[2], 16), values)
 
 
@@ -121,7 +121,7 @@
         raise OpeningError("unknown class or tenant")
     request_class = config.settings.classes[class_index]
     adopted_endpoint = values.get("at", "")
-    # No client waits longer than its class allows; one that is adopted says how long.
+    # No client waits longer than its class allows; an adopted connection names its own deadline.
     longest = ADOPTION_DEADLINE if adopted_endpoint else request_class.deadline
     return Request(
         class_index=class_index,
@@ -140,7 +140,7 @@
 
 
 def rejection_line(retry_after_ms: int) -> bytes:
-    """Tells a client that it is rejected; 0 = without a time after which to retry."""
+    """The line that rejects a client; 0 = without a retry time."""
     return b"BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"BUSY\r\n"
 
 
@@ -151,7 +151,7 @@
 
 
 def parse_load(line: bytes) -> float | None:
-    """The load in a load report; None if it is not one: a line for the client may look like it."""
+    """The load in a load report; None if there is none: the line may be one for the client."""
     try:
         return float(line.split()[1])
     except (IndexError, ValueError):
@@ -159,7 +159,7 @@
 
 
 def parse_report(line: bytes) -> dict[str, float]:
-    """The values in an endpoint's answer to a health check, by name; what is not a number is left out."""
+    """The numbers in an endpoint's answer to a health check, by name; other values are left out."""
     values: dict[str, float] = {}
     for part in line.decode("ascii", "replace").replace(",", " ").split()[1:]:
         name, _, value = part.partition("=")
--- a/arrowseam/protocols/edge/server.py
+++ b/arrowseam/protocols/edge/server.py
@@ -19,11 +19,11 @@
 from arrowseam.protocols.edge.session import EdgeSession
 from arrowseam.protocols.session import ClientSession, RequestService, send_and_close
 
-CLIENT_BYTES_MAX = 16384  # buffered of a client once its opening is read
+CLIENT_BYTES_MAX = 16384  # buffered per client once its opening is read
 OPENING_TIMEOUT = 2 * SECOND  # from accepting the client to the end of its opening
 PINGS_MAX = 16  # answered before the opening
 LOGGED_LINE_MAX = 120  # bytes of an invalid opening in the log
-LOGGED_PARTIAL_MAX = 60  # the same where its line is not complete
+LOGGED_PARTIAL_MAX = 60  # the same for an incomplete line
 
 
 def _ignore_id_change(_connection_id: str, _in_use: bool) -> None:
@@ -34,7 +34,7 @@
     """Serves the clients of the line protocol.
 
     Attributes:
-        connection_ids: ids of the connections served here; an id is in use once.
+        connection_ids: ids of the connections served here; no two may have the same id.
         other_process_ids: the same of the other process of this proxy, during a hot restart.
         on_id_change: called with an id and whether it is in use, when that changes here.
     """
@@ -46,18 +46,18 @@
         self.on_id_change: Callable[[str, bool], None] = _ignore_id_change
 
     def serve(self, conn: Connection) -> Coroutine[None]:
-        """Serve one client from its first byte on."""
+        """Serve one client from its first byte to its end."""
         conn.received.limit = messages.LINE_BYTES_MAX
         rejection = messages.rejection_line(self.requests.retry_after_ms)
         if not self.loop.reclaim_descriptors():
-            # Rejected early, while there are descriptors to do it with.
+            # Rejected early, while descriptors are left to do so.
             yield from send_and_close(conn, rejection)
             return
         self.loop.expendable[conn] = rejection
         line = yield from self._read_opening(conn, clock() + OPENING_TIMEOUT)
         self.loop.expendable.pop(conn, None)
         if line is None and (not len(conn.received) or (self.requests.is_closing and not conn.eof)):
-            # It has sent nothing, or may be sending its opening in this very moment: this is its answer.
+            # It has sent nothing, or may be sending its opening at this moment: it is rejected either way.
             if not conn.eof:
                 yield from send_and_close(conn, rejection)
             return
@@ -74,7 +74,7 @@
         yield from self._run(request, session, self.requests.serve)
 
     def _read_opening(self, conn: Connection, deadline: int) -> Coroutine[bytes | None]:
-        """The first line that is no PING; a bounded number of these is answered, one a round of the loop."""
+        """Read the first line that is not a PING; a limited number of PINGs is answered, one per round."""
         for _ in range(PINGS_MAX):
             line = yield from conn.read_line(
                 messages.LINE_BYTES_MAX, deadline, lambda: self.requests.is_closing
@@ -88,9 +88,9 @@
         opening = messages.parse_opening(line or b"")
         request = messages.create_request(opening, self.config, clock())
         if opening.connection_id in self.connection_ids or opening.connection_id in self.other_process_ids:
-            raise messages.OpeningError("the id of another connection")
+            raise messages.OpeningError("the id is in use by another connection")
         if len(conn.received):
-            raise messages.OpeningError("a client waits after its first line")
+            raise messages.OpeningError("data after the opening, before its answer")
         return opening, request
 
     def take_over(
@@ -116,7 +116,7 @@
             self.on_id_change(request.name, False)
 
     def note_other_process_id(self, connection_id: str, in_use: bool) -> None:
-        """An id is in use at the other process of this proxy, or is not any more."""
+        """Record that an id is in use at the other process of this proxy, or no longer is."""
         if in_use:
             self.other_process_ids.add(connection_id)
         else:
--- a/arrowseam/protocols/edge/session.py
+++ b/arrowseam/protocols/edge/session.py
@@ -1,4 +1,4 @@
-"""A client of the platform's line protocol, from its opening to its end."""
+"""A client of the platform's line protocol, from its opening to the end of its connection."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from arrowseam.protocols.edge import messages
 from arrowseam.protocols.session import ClientSession, outcome_if_over
 
-LOAD_REPORTS_MAX = 16  # kept until they are taken
+LOAD_REPORTS_MAX = 16  # kept until they are consumed
 
 
 class EndpointLineFramer(MessageFramer):
-    """Releases complete lines of an endpoint and reads each once for what it tells the proxy.
+    """Releases complete lines of an endpoint and parses each line once for load reports and the last word.
 
     Attributes:
-        load_reports: loads reported and not taken yet.
+        load_reports: loads reported and not consumed yet.
         last_word: the first word of the last line, which says how a closed connection ended.
     """
 
@@ -31,7 +31,7 @@
         self.last_word = b""
 
     def note_line(self, line: bytes) -> None:
-        """Keep what a line tells."""
+        """Record the first word of a line, and the load that it reports."""
         self.last_word = messages.first_word(line)
         if self.last_word == messages.LOAD:
             load = messages.parse_load(line)
@@ -40,14 +40,14 @@
                 del self.load_reports[:-LOAD_REPORTS_MAX]
 
     def release(self, received: Buffer, released: int) -> int:
-        """Complete lines; all of it where the buffer is full without one."""
+        """Release complete lines; everything if the buffer is full without one."""
         complete = received.rfind(b"\n") + 1
         if complete > released:
             for line in received.peek(complete - released, released).split(b"\n")[:-1]:
                 self.note_line(line)
             self.inside_message = False
             return complete
-        if received.is_full:  # longer than a line may be: it is forwarded as it is
+        if received.is_full:  # longer than a line may be: forwarded as it is
             self.inside_message = True
             return len(received)
         return released
@@ -74,7 +74,7 @@
     def resume(
         cls, loop: EventLoop, conn: Connection, endpoint: Connection, state: dict[str, Any]
     ) -> EdgeSession:
-        """The session of a connection that another process hands over; raises KeyError for a wrong state."""
+        """The session of a handed-over connection; raises KeyError if ``state`` is incomplete."""
         session = cls(loop, conn)
         session.framer.last_word = str(state["last"]).encode("latin-1")
         session.forwarder = Forwarder(conn, endpoint, MessageFramer(), session.framer)
@@ -101,7 +101,7 @@
                     return (yield from self._handle_answer(endpoint, line))
                 self.framer.note_line(line)
                 endpoint.received.consume(newline + 1)
-                yield from self.loop.yield_turn()  # an endless stream of reports must not occupy the loop
+                yield from self.loop.yield_turn()  # an endless stream of reports must not block the loop
             elif endpoint.eof or len(endpoint.received) >= messages.LINE_BYTES_MAX:
                 return AttemptOutcome.RESET if endpoint.eof else AttemptOutcome.ERROR
             outcome = outcome_if_over(deadline, should_stop)
@@ -116,12 +116,12 @@
             self.forwarder = Forwarder(self.conn, endpoint, MessageFramer(), self.framer)
             return AttemptOutcome.ESTABLISHED
         if word == messages.COMPLETED:
-            # Served to its end at once: the client is told so in the endpoint's own words.
+            # Served completely at once: the client gets the endpoint's own line.
             yield from self.conn.send(line, clock() + SECOND)
-        return messages.OUTCOME_OF_ANSWER.get(word, AttemptOutcome.ERROR)
+        return messages.OUTCOME_BY_ANSWER.get(word, AttemptOutcome.ERROR)
 
     def forward(self) -> AttemptOutcome | None:
-        """Forward what has come; the endpoint's last line says how the connection ended."""
+        """Forward received data; the endpoint's last line says how the connection ended."""
         assert self.forwarder is not None
         closed_by = self.forwarder.forward()
         if closed_by is None:
@@ -129,7 +129,7 @@
         if closed_by is Side.CLIENT:
             return AttemptOutcome.CLIENT_DISCONNECTED
         if self.framer.last_word in (messages.COMPLETED, messages.MIGRATE):
-            return messages.OUTCOME_OF_ANSWER[self.framer.last_word]
+            return messages.OUTCOME_BY_ANSWER[self.framer.last_word]
         return AttemptOutcome.RESET
 
     def take_load_reports(self) -> list[float]:
@@ -138,11 +138,11 @@
         return reports
 
     def migration_message(self) -> bytes:
-        """What asks the client to connect again."""
+        """The message that asks the client to reconnect."""
         return messages.MIGRATION_LINE
 
     def export_state(self) -> dict[str, Any]:
-        """The protocol's part of what another process takes over."""
+        """The protocol's part of the state that another process takes over."""
         return {"wire": "lines", "last": self.framer.last_word.decode("latin-1")}
 
     def send_rejection(self, retry_after_ms: int) -> Coroutine[None]:
--- a/arrowseam/protocols/health.py
+++ b/arrowseam/protocols/health.py
@@ -1,6 +1,6 @@
-"""What load balancers in front of the proxy ask: HAProxy's agent check, and ``/healthz`` over HTTP.
+"""Health checks by load balancers in front of the proxy: HAProxy's agent check, and ``/healthz`` over HTTP.
 
-It must never change the proxy's state.
+They must never change the proxy's state.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class HealthState(Enum):
-    """Whether the proxy wants new clients; the values are what ``/healthz`` answers."""
+    """Whether the proxy wants new clients; the values are the response bodies of ``/healthz``."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -43,13 +43,13 @@
         self.is_draining, self.has_ready_endpoints = is_draining, has_ready_endpoints
 
     def state(self) -> HealthState:
-        """The proxy's state now."""
+        """The proxy's current state."""
         if self.is_draining():
             return HealthState.DRAINING
         return HealthState.READY if self.has_ready_endpoints() else HealthState.EMPTY_LIST
 
     def serve_agent_check(self, conn: Connection) -> Coroutine[None]:
-        """Send one line to whoever connects; what it sends is not needed."""
+        """Send one line to each client; its input is ignored."""
         deadline = clock() + REQUEST_TIMEOUT
         yield from conn.send(AGENT_LINES[self.state()], deadline)
         yield from conn.close_gracefully(deadline)
@@ -90,7 +90,7 @@
 
 
 def _next_event(conn: Connection, http: h11.Connection, deadline: int) -> Coroutine[Any]:
-    """The next part of the request; None if none comes any more. Raises h11.RemoteProtocolError."""
+    """The next part of the request; None if it does not arrive. Raises h11.RemoteProtocolError."""
     while True:
         event = http.next_event()
         if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
--- a/arrowseam/protocols/http_client.py
+++ b/arrowseam/protocols/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client on the event loop: GET over one connection that is kept open."""
+"""An HTTP/1.1 client on the event loop: GET over one persistent connection."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 RESPONSE_BYTES_MAX = 8 << 20
 QUOTED_BYTES_MAX = 60  # of an invalid response, in an error message
 
-# How the HTTP library begins its messages about an invalid response, and what the log says.
+# Prefixes of the HTTP library's messages about an invalid response, and what the log says instead.
 _PROTOCOL_ERRORS = (
     ("illegal request line", "it is not HTTP"),
     ("no response line", "it has no status line"),
@@ -39,20 +39,20 @@
 
 
 class HttpCallError(ArrowseamError):
-    """A call that brought no valid response; the message says why."""
+    """A call returned no valid response; the message says why."""
 
 
 def describe_protocol_error(error: h11.ProtocolError) -> str:
-    """What is wrong with a response that is not valid HTTP/1.1, with the bytes at fault if they are known."""
+    """What is wrong with a response that is not valid HTTP/1.1, with the bytes at fault if known."""
     text = str(error)
-    found = next(
-        (words for start, words in _PROTOCOL_ERRORS if text.startswith(start)), "it is not valid HTTP/1.1"
+    description = next(
+        (reason for prefix, reason in _PROTOCOL_ERRORS if text.startswith(prefix)), "it is not valid HTTP/1.1"
     )
     quoted = _QUOTED_BYTES.search(text)
     if quoted is None:
-        return found
+        return description
     data: bytes = ast.literal_eval(quoted[0])
-    return f"{found}: {repr(data.rstrip()[:QUOTED_BYTES_MAX])[1:]}"
+    return f"{description}: {repr(data.rstrip()[:QUOTED_BYTES_MAX])[1:]}"
 
 
 class HttpClient:
@@ -74,20 +74,20 @@
         self.conn = self._http = None
 
     def get(self, address: Address, host: str, target: str, deadline: int) -> Coroutine[bytes]:
-        """The body of the response with status 200; ``deadline`` limits all that the call does.
+        """The body of the response with status 200; ``deadline`` limits the whole call.
 
-        Raises HttpCallError, or h11.ProtocolError for a response that is not valid HTTP. The connection must
-        be closed then.
+        Raises HttpCallError, or h11.ProtocolError for a response that is not valid HTTP. The caller must then
+        close the connection.
         """
         if self.conn is not None and (self.conn.peer_closed or len(self.conn.received)):
-            self.close()  # closed, or with a response that no call asked for
+            self.close()  # closed by the host, or it sent a response without a request
         if self.conn is None:
             connect_deadline = min(deadline, clock() + CONNECT_TIMEOUT)
             self.conn = yield from self.loop.connect(address, connect_deadline, may_use_reserved=True)
             self._http = h11.Connection(h11.CLIENT)
         conn, http = self.conn, self._http
         if conn is None or http is None:
-            raise HttpCallError("no connection")
+            raise HttpCallError("could not connect")
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         data = (http.send(request) or b"") + (http.send(h11.EndOfMessage()) or b"")
         if not (yield from conn.send(data, deadline)):
@@ -109,7 +109,7 @@
         status, body, size = 0, [], 0
         while True:
             if clock() >= deadline:
-                raise HttpCallError("no answer in time")
+                raise HttpCallError("no response in time")
             event = _next_event(conn, http, host)
             if event is h11.NEED_DATA:
                 yield from self._receive(conn, http, deadline)
@@ -119,7 +119,7 @@
                 body.append(bytes(event.data))
                 size += len(event.data)
                 if size > RESPONSE_BYTES_MAX:
-                    raise HttpCallError("the answer is too long")
+                    raise HttpCallError("the response is too long")
             elif isinstance(event, h11.EndOfMessage):
                 return status, b"".join(body)
 
@@ -127,7 +127,7 @@
         conn.read()
         if len(conn.received):
             http.receive_data(conn.received.take(len(conn.received)))
-            yield from self.loop.yield_turn()  # an endless response must not occupy the loop
+            yield from self.loop.yield_turn()  # an endless response must not block the event loop
         elif conn.eof:
             http.receive_data(b"")
         else:
@@ -135,10 +135,10 @@
 
 
 def _next_event(conn: Connection, http: h11.Connection, host: str) -> Any:
-    """The next part of the response; raises HttpCallError where the connection ended within it.
+    """The next part of the response; raises HttpCallError if the connection ended within it.
 
-    To the library that is an event in a wrong state. A response that only the end of the connection ends is
-    complete with it.
+    The library reports that as an event in the wrong state. A response that is delimited by the end of the
+    connection is complete then.
     """
     state = http.their_state
     try:
@@ -147,6 +147,6 @@
         rest, ended = http.trailing_data
         if not ended:
             raise
-        did = "reset" if conn.broken else "closed"
-        at = "in the body of" if state is h11.SEND_BODY else "in the head of" if rest else "before"
-        raise HttpCallError(f"{host} {did} the connection {at} its answer") from None
+        action = "reset" if conn.broken else "closed"
+        position = "in the body of" if state is h11.SEND_BODY else "in the head of" if rest else "before"
+        raise HttpCallError(f"{host} {action} the connection {position} its response") from None
--- a/arrowseam/protocols/nats/config.py
+++ b/arrowseam/protocols/nats/config.py
@@ -1,4 +1,4 @@
-"""The settings of the NATS server: its own file, or the operator file's ``nats()``."""
+"""The settings of the NATS server, from its own file or the operator file's ``nats()``."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
     Attributes:
         listen: where clients connect.
-        server_port: where endpoints speak NATS, at the host that discovery names.
-        overrides: addresses of endpoints where that does not hold, by name.
-        users, names: class and tenant (positions in the settings) by a client's user and by its name.
+        server_port: the port at which endpoints speak NATS, on the host that discovery names.
+        overrides: the addresses of endpoints that differ from that, by name.
+        users, names: class and tenant (positions in the settings) by a client's user, and by its name.
         default: class and tenant of all other clients; None: they are not authorized.
-        max_payload: bytes of one message.
-        health, agent: where ``/healthz`` and the agent check are answered; None: nowhere.
+        max_payload: the limit of one message, in bytes.
+        health, agent: the listeners of ``/healthz`` and of the agent check; None = off.
     """
 
     listen: Address
@@ -47,7 +47,7 @@
         return found or self.default
 
     def endpoint_address(self, endpoint: str, discovered: Address) -> Address:
-        """Where an endpoint speaks NATS."""
+        """The address at which an endpoint speaks NATS."""
         return self.overrides.get(endpoint, (discovered[0], self.server_port))
 
 
@@ -67,7 +67,7 @@
         raise DecodeError("nats: not a JSON object")
     listen = _optional_address(document, "listen")
     if listen is None:
-        raise DecodeError("nats: listen is needed")
+        raise DecodeError("nats: listen is required")
     default = document.get("default")
     return NatsConfig(
         listen=listen,
--- a/arrowseam/protocols/nats/framing.py
+++ b/arrowseam/protocols/nats/framing.py
@@ -11,11 +11,11 @@
 
 
 class NatsFramer(MessageFramer):
-    """Releases complete operations; of one larger than the buffer, what there is.
+    """Releases complete operations, and operations larger than the buffer in parts.
 
     Attributes:
-        remaining: bytes still to come of an operation that is released in parts.
-        error: how the peer broke the protocol; nothing is released any more. Empty if it did not.
+        remaining: bytes not yet received of an operation that is released in parts.
+        error: how the peer violated the protocol; nothing more is released then. Empty if it did not.
     """
 
     verbs: frozenset[bytes]
@@ -27,7 +27,7 @@
         self.error = ""
 
     def release(self, received: Buffer, released: int) -> int:
-        """Complete operations; those that are not for the other side are removed from the buffer."""
+        """Release complete operations; those not meant for the other side are removed from the buffer."""
         self.expects_reply = False
         if self.remaining:
             more = min(self.remaining, len(received) - released)
@@ -66,7 +66,7 @@
         return None
 
     def on_operation(self, operation: Operation) -> bool:
-        """Note an operation; whether it is forwarded to the other side."""
+        """Process an operation; returns whether it is forwarded to the other side."""
         raise NotImplementedError
 
 
@@ -75,7 +75,7 @@
 
     Attributes:
         unanswered_pings: for each PING that the endpoint has not answered, whether it is the client's. PONGs
-            come in the order of the PINGs.
+            arrive in the order of the PINGs.
     """
 
     verbs = messages.CLIENT_VERBS
@@ -100,7 +100,7 @@
 class EndpointFramer(NatsFramer):
     """Frames what an endpoint sends.
 
-    Keeps back the answers to the proxy's own PINGs, and INFO, which would lead clients past the proxy.
+    Withholds the answers to the proxy's own PINGs, and INFO, which would direct clients past the proxy.
 
     Attributes:
         is_draining: the endpoint has announced lame duck mode.
--- a/arrowseam/protocols/nats/messages.py
+++ b/arrowseam/protocols/nats/messages.py
@@ -9,16 +9,16 @@
 from arrowseam.errors import ArrowseamError
 from arrowseam.net.buffer import Buffer
 
-CLIENT_LINE_MAX = 4096  # bytes of a control line, without its end, that a client may send
-ENDPOINT_LINE_MAX = 32768  # the same of an endpoint, whose INFO may be longer
+CLIENT_LINE_MAX = 4096  # bytes of a control line, without its terminator, that a client may send
+ENDPOINT_LINE_MAX = 32768  # the same for an endpoint, whose INFO may be longer
 SIZE_DIGITS_MAX = 9
-PAYLOAD_END = 2  # bytes of the line end after a payload
+PAYLOAD_END = 2  # bytes of the line terminator after a payload
 
 CLIENT_VERBS = frozenset({b"CONNECT", b"PUB", b"HPUB", b"SUB", b"UNSUB", b"PING", b"PONG"})
 ENDPOINT_VERBS = frozenset({b"INFO", b"MSG", b"HMSG", b"PING", b"PONG", b"+OK", b"-ERR"})
 # How many of an operation's last arguments are sizes of its payload; the last is the size of all of it.
 _SIZE_ARGUMENTS = {b"PUB": 1, b"HPUB": 2, b"MSG": 1, b"HMSG": 2}
-# The least and the greatest number of arguments.
+# The minimum and the maximum number of arguments.
 _ARGUMENT_COUNTS = {
     b"PUB": (2, 3),
     b"HPUB": (3, 4),
@@ -35,17 +35,17 @@
 
 
 class NatsProtocolError(ArrowseamError):
-    """The peer broke the protocol; the message is what NATS calls it."""
+    """The peer violated the protocol; the message is the text that NATS uses for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One operation at some place of a buffer.
+    """One operation in a buffer.
 
     Attributes:
-        verb: in capitals.
+        verb: in upper case.
         arguments: what follows the verb on its line.
-        size: bytes of the whole operation, payload and line ends included.
+        size: bytes of the whole operation, payload and line terminators included.
     """
 
     verb: bytes
@@ -77,16 +77,16 @@
 
 
 def _payload_size(verb: bytes, arguments: list[bytes], payload_max: int) -> int:
-    """Bytes of the payload and its line end; 0 for an operation without one."""
-    least, greatest = _ARGUMENT_COUNTS[verb]
-    if not least <= len(arguments) <= greatest:
+    """Bytes of the payload and its line terminator; 0 for an operation without one."""
+    minimum, maximum = _ARGUMENT_COUNTS[verb]
+    if not minimum <= len(arguments) <= maximum:
         raise NatsProtocolError(PARSER_ERROR)
     if verb not in _SIZE_ARGUMENTS:
         return 0
     sizes = arguments[-_SIZE_ARGUMENTS[verb] :]
     if not all(size.isdigit() and len(size) <= SIZE_DIGITS_MAX for size in sizes):
         raise NatsProtocolError(PARSER_ERROR)
-    if int(sizes[0]) > int(sizes[-1]):  # the headers are a part of it
+    if int(sizes[0]) > int(sizes[-1]):  # the headers are a part of the total
         raise NatsProtocolError(PARSER_ERROR)
     if int(sizes[-1]) > payload_max:
         raise NatsProtocolError("Maximum Payload Violation")
@@ -105,13 +105,13 @@
 
 
 def rejection_text(retry_after_ms: int) -> str:
-    """NATS has no word for a retry time: clients know the first part, people read the second."""
+    """NATS has no field for a retry time: clients recognise the first part, people read the second."""
     retry_after = f", Retry After {retry_after_ms} ms" if retry_after_ms > 0 else ""
     return "Maximum Connections Exceeded" + retry_after
 
 
 def error_line(text: str) -> bytes:
-    """An error as NATS sends it."""
+    """The ``-ERR`` line of an error."""
     return f"-ERR '{text}'\r\n".encode()
 
 
--- a/arrowseam/protocols/nats/server.py
+++ b/arrowseam/protocols/nats/server.py
@@ -21,7 +21,7 @@
 from arrowseam.protocols.nats.session import NatsSession
 from arrowseam.protocols.session import RequestService, send_and_close
 
-# Bytes buffered of a client that has no endpoint yet; past that it is not read. The whole proxy may have to
+# Bytes buffered per client that has no endpoint yet; beyond that it is not read. The whole proxy may have to
 # fit in 32 MB.
 CLIENT_BYTES_MAX = 16384
 GREETING_TIMEOUT = 2 * SECOND  # from accepting a client to its CONNECT
@@ -38,7 +38,7 @@
         self._client_count = 0
 
     def info_line(self, is_draining: bool = False) -> bytes:
-        """What the proxy tells clients of itself; ``is_draining``: that they shall connect elsewhere."""
+        """The INFO for clients; with ``is_draining`` it tells them to connect to another server."""
         host, port = self.nats_config.listen
         fields: dict[str, Any] = {
             "server_id": f"arrowseam-{self.config.name}",
@@ -55,7 +55,7 @@
         return messages.info_line(fields)
 
     def serve(self, conn: Connection) -> Coroutine[None]:
-        """Serve one client from its first byte on."""
+        """Serve one client from its first byte to its end."""
         conn.received.limit = 2 * messages.CLIENT_LINE_MAX
         deadline = clock() + GREETING_TIMEOUT
         rejection = messages.error_line(messages.rejection_text(self.requests.retry_after_ms))
@@ -80,7 +80,7 @@
             yield from self.requests.serve(request, NatsSession(self, conn, text))
 
     def _read_connect(self, conn: Connection, deadline: int) -> Coroutine[bytes | None]:
-        """The JSON text of the client's CONNECT; what it sends after it stays in its buffer.
+        """The JSON text of the client's CONNECT; later operations stay in its buffer.
 
         None if the client left. Raises NatsProtocolError.
         """
@@ -124,7 +124,7 @@
         if bool(options.get("verbose", False)):
             if not (yield from conn.send(messages.OK_LINE, deadline)):
                 return None
-            found = self.nats_config.class_and_tenant(options) or found  # the settings may be new
+            found = self.nats_config.class_and_tenant(options) or found  # the settings may have changed
         class_index, tenant_index = found
         request_class = self.config.settings.classes[class_index]
         self._client_count += 1
--- a/arrowseam/protocols/nats/session.py
+++ b/arrowseam/protocols/nats/session.py
@@ -1,4 +1,4 @@
-"""A NATS client, from its CONNECT to its end."""
+"""A NATS client, from its CONNECT to the end of its connection."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     from arrowseam.protocols.nats.server import NatsServer
 
 ENDPOINT_BYTES_MAX = 65536  # buffered of an endpoint
-PING_AFTER = 2 * SECOND  # an endpoint that has sent nothing for so long is sent a PING of the proxy's own
+PING_AFTER = 2 * SECOND  # an endpoint that has sent nothing for this long gets a PING of the proxy's own
 
 
 class NatsSession(ClientSession):
@@ -44,7 +44,7 @@
     def resume(
         cls, server: NatsServer, conn: Connection, endpoint: Connection, state: dict[str, Any]
     ) -> NatsSession:
-        """The session of a connection that another process hands over; raises KeyError for a wrong state."""
+        """The session of a handed-over connection; raises KeyError if ``state`` is incomplete."""
         session = cls(server, conn, str(state["connect"]).encode("latin-1"))
         forwarder = session._start_forwarding(endpoint)
         assert session.client_framer is not None
@@ -53,9 +53,9 @@
         return session
 
     def endpoint_address(self, endpoint_name: str, address: Address) -> Address | None:
-        """Where the endpoint speaks NATS; None if that is this proxy.
+        """The address at which the endpoint speaks NATS; None if that is this proxy.
 
-        Guards against a loop through ourselves, where the port of the endpoints is set to our own.
+        Guards against a loop of connections to ourselves, where the endpoints' port is set to our own.
         """
         found = self.server.nats_config.endpoint_address(endpoint_name, address)
         return None if found == self.server.nats_config.listen else found
@@ -65,7 +65,7 @@
     def establish(
         self, endpoint: Connection, deadline: int, should_stop: Callable[[], bool]
     ) -> Coroutine[AttemptOutcome]:
-        """Await INFO, send CONNECT and PING; PONG means that the endpoint has taken the client."""
+        """Await INFO, send CONNECT and PING; PONG means that the endpoint has accepted the client."""
         self._connect_sent = False
         payload_max = self.server.nats_config.max_payload
         while True:
@@ -79,13 +79,13 @@
                     outcome = yield from self._on_greeting(endpoint, operation, deadline)
                     if outcome is not None:
                         return outcome
-                    yield from self.loop.yield_turn()  # an endless greeting must not occupy the loop
+                    yield from self.loop.yield_turn()  # an endless greeting must not block the loop
                     if not should_stop() and clock() < deadline:
                         continue
             except NatsProtocolError:
                 return AttemptOutcome.ERROR
             if endpoint.eof:
-                # Before CONNECT was sent there was nothing that could have run.
+                # Nothing can have run before CONNECT was sent.
                 return AttemptOutcome.RESET if self._connect_sent else AttemptOutcome.UNREACHABLE
             outcome = outcome_if_over(deadline, should_stop)
             if outcome is not None:
@@ -114,7 +114,7 @@
     ) -> Coroutine[AttemptOutcome | None]:
         info = messages.parse_json_object(operation.arguments)
         if info.get("ldm") is True:
-            return AttemptOutcome.REJECTED  # it is draining and has taken nothing
+            return AttemptOutcome.REJECTED  # it is draining and has accepted nothing
         if info.get("tls_required") is True:
             return AttemptOutcome.ERROR
         if self._connect_sent:
@@ -132,14 +132,14 @@
         payload_max = self.server.nats_config.max_payload
         self.client_framer = ClientFramer(payload_max)
         self.endpoint_framer = EndpointFramer(payload_max, self.client_framer.unanswered_pings)
-        # What the client sent early is still in its buffer and is forwarded once.
+        # Data that the client sent early is still in its buffer and is forwarded once.
         self.forwarder = Forwarder(self.conn, endpoint, self.client_framer, self.endpoint_framer)
         return self.forwarder
 
     # --- the established connection ---
 
     def forward(self) -> AttemptOutcome | None:
-        """Forward what has come, and check an endpoint that has been silent."""
+        """Forward received data, and send a PING to an endpoint that has been silent."""
         forwarder, client_framer, endpoint_framer = self.forwarder, self.client_framer, self.endpoint_framer
         assert forwarder is not None
         assert client_framer is not None
@@ -158,7 +158,7 @@
         return AttemptOutcome.CLIENT_DISCONNECTED if client_framer.error else None
 
     def _ping_endpoint(self, forwarder: Forwarder, client_framer: ClientFramer) -> None:
-        # Not inside a message that the client is sending: a slow client does not make the endpoint suspect.
+        # Not inside a message that the client is sending: a slow client says nothing about the endpoint.
         client_sends = forwarder.releasable_from_client or client_framer.inside_message
         if not forwarder.own_message and not client_sends:
             forwarder.own_message, forwarder.reply_awaited_since = messages.PING_LINE, clock()
@@ -170,7 +170,7 @@
         return max(self.forwarder.last_received_at + PING_AFTER, clock() + PING_AFTER // 10)
 
     def export_state(self) -> dict[str, Any]:
-        """The protocol's part of what another process takes over."""
+        """The protocol's part of the state that another process takes over."""
         assert self.client_framer is not None
         return {
             "wire": "nats",
@@ -185,7 +185,7 @@
         return self.server.info_line(is_draining=True)
 
     def close_gracefully(self, deadline: int) -> Coroutine[None]:
-        """Tell the client why, where the protocol has a word for it; close both sides."""
+        """Tell the client why, where the protocol has a message for it; close both sides."""
         if self.endpoint_framer is not None and self.endpoint_framer.is_draining:
             yield from self.close_with_message(deadline)
         elif self.client_framer is not None and self.client_framer.error:
--- a/arrowseam/protocols/session.py
+++ b/arrowseam/protocols/session.py
@@ -1,4 +1,4 @@
-"""One client of any wire protocol: the base class of the protocols' sessions.
+"""The base class of client sessions, common to all wire protocols.
 
 A session knows how its protocol opens a connection at an endpoint, what it forwards and what its messages to
 clients look like. It must never choose an endpoint or decide whether an attempt is retried.
@@ -25,7 +25,7 @@
 
 
 def send_and_close(conn: Connection, message: bytes) -> Coroutine[None]:
-    """Send a last message to a client and close the connection without losing it to a reset."""
+    """Send a last message to a client and close the connection without a reset that would discard it."""
     deadline = clock() + FINAL_ANSWER_TIMEOUT
     yield from conn.send(message, deadline)
     yield from conn.close_gracefully(deadline)
@@ -39,15 +39,15 @@
 
 
 class RequestService(Protocol):
-    """What the protocols' servers need of the part that serves requests."""
+    """The interface through which the protocols' servers hand over requests."""
 
     @property
     def retry_after_ms(self) -> int:
-        """For rejections that are not the balancer's; 0 = not told."""
+        """The retry time of rejections that the balancer did not decide; 0 = unspecified."""
 
     @property
     def is_closing(self) -> bool:
-        """Whether clients that have sent no request yet are rejected, since the process ends."""
+        """Whether clients that have sent no request yet are rejected, since the process is shutting down."""
 
     @property
     def is_tracing(self) -> bool:
@@ -57,7 +57,7 @@
         """Serve a client from its opening to the end of its connection."""
 
     def take_over(self, request: Request, session: ClientSession) -> Coroutine[None]:
-        """Serve a connection that was established at another process of this proxy."""
+        """Serve a connection that was established by another process of this proxy."""
 
 
 class ClientSession(ABC):
@@ -95,15 +95,15 @@
 
     @abstractmethod
     def forward(self) -> AttemptOutcome | None:
-        """Forward what has come; COMPLETED, MIGRATED, RESET or CLIENT_DISCONNECTED once it has ended."""
+        """Forward received data; COMPLETED, MIGRATED, RESET or CLIENT_DISCONNECTED once it has ended."""
 
     @abstractmethod
     def migration_message(self) -> bytes:
-        """What asks the client to connect again."""
+        """The message that asks the client to reconnect."""
 
     @abstractmethod
     def send_rejection(self, retry_after_ms: int) -> Coroutine[None]:
-        """Final answer: rejected, a retry is safe after so many milliseconds (0 = not told)."""
+        """Final answer: rejected, a retry is safe after so many milliseconds (0 = unspecified)."""
 
     @abstractmethod
     def send_failure(self) -> Coroutine[None]:
@@ -114,24 +114,24 @@
         """The protocol's state of an established connection, for another process of this proxy."""
 
     def endpoint_address(self, endpoint_name: str, address: Address) -> Address | None:
-        """Where this protocol reaches an endpoint; None where it does not."""
+        """The address at which this protocol reaches an endpoint; None if it cannot."""
         del endpoint_name
         return address
 
     def next_forward_at(self) -> int | None:
-        """When ``forward`` must be called even if nothing has come; None: not before something comes."""
+        """When ``forward`` must be called even if nothing is received; None: only when data is received."""
         return None
 
     def take_load_reports(self) -> list[float]:
         """Loads reported by the endpoint since the last call."""
         return []
 
-    # --- the same for every protocol ---
+    # --- common to all protocols ---
 
     def attempt(
         self, endpoint_name: str, address: Address, deadline: int, should_stop: Callable[[], bool]
     ) -> Coroutine[AttemptOutcome]:
-        """Make one attempt at an endpoint. Unless it is ESTABLISHED its connection is closed on return."""
+        """Make one attempt at an endpoint. Its connection is closed on return unless ESTABLISHED."""
         protocol_address = self.endpoint_address(endpoint_name, address)
         if protocol_address is None:
             return AttemptOutcome.UNREACHABLE
@@ -154,18 +154,21 @@
         return outcome
 
     def awaiting_reply_since(self) -> int | None:
-        """When the endpoint was first asked something that it has not answered in any way."""
+        """Since when a reply of the endpoint is awaited; None if it owes no reply."""
         return self.forwarder.reply_awaited_since if self.forwarder else None
 
     def close_with_message(self, deadline: int, message: bytes = b"") -> Coroutine[None]:
-        """Send a last message (default: the migration message) between two others; close both sides."""
+        """Send the client a last message (default: the migration message), then close both sides.
+
+        It is sent between two forwarded messages only.
+        """
         if self.forwarder is not None:
             yield from self.forwarder.send_last_message(message or self.migration_message(), deadline)
             self.forwarder.endpoint.close()
         yield from self.conn.close_gracefully(deadline)
 
     def close_gracefully(self, deadline: int) -> Coroutine[None]:
-        """Close both sides, each in the way that the other was closed."""
+        """Close both sides: a reset is passed on as a reset, a close as a close."""
         if self.forwarder is not None:
             yield from self.forwarder.close_gracefully(deadline)
         else:
--- a/tests/test_process_signals.py
+++ b/tests/test_process_signals.py
@@ -1,6 +1,6 @@
-"""Signals in series to a proxy's process, at its start, in its shutdown and at its end.
+"""Repeated signals to a proxy's process during start-up, graceful shutdown and interpreter shutdown.
 
-A process that ends by a signal in place of status 0 is taken for a crash by its supervisor.
+A supervisor takes a process for crashed if it is killed by a signal and does not exit with status 0.
 """
 
 from __future__ import annotations
@@ -25,32 +25,32 @@
 
 
 class ServeProcess:
-    """One ``serve`` whose configuration is a file, or a FIFO that holds its start up until it is written."""
+    """A ``serve`` process whose configuration is a file, or a FIFO that blocks its start until written."""
 
-    def __init__(self, folder: Path, held: bool = False) -> None:
+    def __init__(self, folder: Path, blocked: bool = False) -> None:
         self.port, self.path, self.log = free_port(), folder / "config.json", folder / "log"
         address = f"127.0.0.1:{self.port}"
         doc = {"listen": address, "discovery": "127.0.0.1:1", "seed": "1", "settings": SETTINGS}
         self.text = json.dumps(doc)
-        if held:
+        if blocked:
             os.mkfifo(self.path)
         else:
             self.path.write_text(self.text)
-        words = [sys.executable, "-m", "arrowseam", "serve", "--config", str(self.path)]
+        arguments = [sys.executable, "-m", "arrowseam", "serve", "--config", str(self.path)]
         with self.log.open("wb") as log:
             environment = os.environ | {"TMPDIR": str(folder)}
-            self.process = subprocess.Popen(words, stdout=log, stderr=log, env=environment)
+            self.process = subprocess.Popen(arguments, stdout=log, stderr=log, env=environment)
 
-    def wait_for(self, condition: str) -> None:
-        """Wait for a text in the log."""
+    def wait_for(self, text: str) -> None:
+        """Wait until a text is in the log."""
         end = time.monotonic() + TIME_LIMIT
-        while condition not in self.log.read_text():
+        while text not in self.log.read_text():
             assert time.monotonic() < end, self.log.read_text()
             assert self.process.poll() is None, (self.process.returncode, self.log.read_text())
             time.sleep(0.005)
 
-    def wait_until_it_reads(self) -> int:
-        """Wait until it opens the FIFO; returns the other end."""
+    def wait_until_fifo_is_open(self) -> int:
+        """Wait until the process opens the FIFO; returns the writing end."""
         end = time.monotonic() + TIME_LIMIT
         while True:
             try:
@@ -60,8 +60,8 @@
                     raise
             time.sleep(0.005)
 
-    def release(self, writer: int) -> None:
-        """Let it read its configuration, which is a plain file from then on."""
+    def unblock(self, writer: int) -> None:
+        """Let the process read its configuration, which is a plain file from then on."""
         plain = self.path.with_suffix(".plain")
         plain.write_text(self.text)
         os.replace(plain, self.path)
@@ -76,12 +76,12 @@
         except ConnectionRefusedError:
             return False
 
-    def end_by(self, series: tuple[signal.Signals, ...]) -> int:
-        """Send SIGTERM, then the series until it has ended; returns its status."""
+    def terminate(self, signals: tuple[signal.Signals, ...]) -> int:
+        """Send SIGTERM, then the signals repeatedly until the process has ended; returns its exit status."""
         self.process.send_signal(signal.SIGTERM)
         end = time.monotonic() + TIME_LIMIT
         while self.process.poll() is None and time.monotonic() < end:
-            for number in series:
+            for number in signals:
                 self.process.send_signal(number)
             time.sleep(SIGNAL_INTERVAL)
         return self.process.wait(0.1)
@@ -97,47 +97,47 @@
     return tmp_path / "run"
 
 
-@pytest.mark.parametrize("series", [*((number,) for number in HANDLED_SIGNALS), HANDLED_SIGNALS],
+@pytest.mark.parametrize("signals", [*((number,) for number in HANDLED_SIGNALS), HANDLED_SIGNALS],
                          ids=["term", "int", "hup", "all"])  # fmt: skip
-def test_signals_up_to_the_last_moment_of_a_shutdown_leave_the_status_0(folder, series) -> None:
-    """Signals came while the interpreter ended, when they had their default actions again."""
+def test_signals_during_the_whole_shutdown_leave_the_exit_status_0(folder, signals) -> None:
+    """Signals arrived while the interpreter shut down, when they had their default actions again."""
     proxy = ServeProcess(folder)
     try:
         proxy.wait_for("listens on")
         assert proxy.answers()
-        assert proxy.end_by(series) == 0
+        assert proxy.terminate(signals) == 0
         assert "drained\n" in proxy.log.read_text()
     finally:
         proxy.close()
 
 
-def test_a_sighup_at_the_start_is_a_reload_once_it_serves(folder) -> None:
-    """SIGHUP came before its handler was set, and ended the process."""
-    proxy = ServeProcess(folder, held=True)
+def test_a_sighup_during_the_start_is_a_reload_afterwards(folder) -> None:
+    """SIGHUP arrived before its handler was set, and killed the process."""
+    proxy = ServeProcess(folder, blocked=True)
     try:
-        writer = proxy.wait_until_it_reads()
+        writer = proxy.wait_until_fifo_is_open()
         for _ in range(5):
             proxy.process.send_signal(signal.SIGHUP)
             time.sleep(SIGNAL_INTERVAL)
-        proxy.release(writer)
+        proxy.unblock(writer)
         proxy.wait_for("reload: done")
         assert proxy.answers()
         assert proxy.log.read_text().count("reload: done") == 1
-        assert proxy.end_by(()) == 0
+        assert proxy.terminate(()) == 0
     finally:
         proxy.close()
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_process_told_to_end_at_the_start_ends_before_it_listens(folder, number) -> None:
-    """SIGTERM came before its handler was set, and ended the process by the signal."""
-    proxy = ServeProcess(folder, held=True)
+def test_a_process_terminated_during_its_start_exits_before_it_listens(folder, number) -> None:
+    """SIGTERM arrived before its handler was set, and killed the process."""
+    proxy = ServeProcess(folder, blocked=True)
     try:
-        writer = proxy.wait_until_it_reads()
+        writer = proxy.wait_until_fifo_is_open()
         proxy.process.send_signal(number)
         time.sleep(SIGNAL_INTERVAL)
         proxy.process.send_signal(signal.SIGHUP)
-        proxy.release(writer)
+        proxy.unblock(writer)
         assert proxy.process.wait(TIME_LIMIT) == 0
         assert "listens on" not in proxy.log.read_text()
     finally:
@@ -147,10 +147,10 @@
 @pytest.mark.parametrize(
     "module", ["arrowseam.consensus.worker", "arrowseam.config.script", "arrowseam.endpoint_sources.worker"]
 )
-def test_a_worker_ignores_what_is_sent_to_the_whole_process_group(module) -> None:
-    """A SIGHUP to the group, which asks the proxy for a reload, ended a voter's state worker."""
-    words = [sys.executable, "-m", module, "no file"]
-    with subprocess.Popen(words, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL) as worker:
+def test_a_worker_ignores_signals_to_the_whole_process_group(module) -> None:
+    """A SIGHUP to the group, which asks the proxy for a reload, killed a voter's state worker."""
+    arguments = [sys.executable, "-m", module, "no file"]
+    with subprocess.Popen(arguments, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL) as worker:
         wanted = sum(1 << (number - 1) for number in (signal.SIGINT, signal.SIGHUP))
         end = time.monotonic() + TIME_LIMIT
         while ignored_signals(worker.pid) & wanted != wanted:
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -1,4 +1,4 @@
-"""Tables of cases for the parsers, and what belongs to one wire alone."""
+"""Tables of cases for the parsers, and behaviour that is specific to one wire protocol."""
 
 from __future__ import annotations
 
@@ -57,15 +57,15 @@
 
 @pytest.fixture
 def world() -> Iterator[Callable[..., World]]:
-    made: list[World] = []
+    created: list[World] = []
 
-    def make(*modes: str, **fields: Any) -> World:
-        made.append(World(fields.pop("wire", "lines"), *modes, **fields))
-        return made[-1]
+    def create(*modes: str, **fields: Any) -> World:
+        created.append(World(fields.pop("wire", "lines"), *modes, **fields))
+        return created[-1]
 
-    yield make
-    for one in made:
-        one.close()
+    yield create
+    for created_world in created:
+        created_world.close()
 
 
 # --- the buffer -------------------------------------------------------------------------------------------
@@ -87,19 +87,19 @@
     assert found.take(9) == b"00049"
 
 
-# --- lines ------------------------------------------------------------------------------------------------
+# --- the line protocol ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("line", "onward"),
+    ("line", "forwarded"),
     [
         (b"OPEN 9b 7f c=tech,t=acme,d=2000,g=5c", b"OPEN 9b 7f c=tech,t=acme,d=70,g=5c\r\n"),
         (b"OPEN 9b 7f d=1,c=tech,zz=,again=1", b"OPEN 9b 7f d=70,c=tech,zz=,again=1\r\n"),
         (b"OPEN 9b 7f c=tech,d=9,at=s-1,h=2.5", b"OPEN 9b 7f c=tech,d=70,at=s-1,h=2.5\r\n"),
     ],
 )
-def test_a_first_line_goes_on_unchanged_but_for_d(line, onward):
-    assert edge_messages.parse_opening(line).forwarded_line(70) == onward
+def test_an_opening_is_forwarded_unchanged_except_for_its_deadline(line, forwarded):
+    assert edge_messages.parse_opening(line).forwarded_line(70) == forwarded
 
 
 @pytest.mark.parametrize(
@@ -139,7 +139,7 @@
         b"OPEN 9b 7f c=tech,d=5,z=\0",
     ],
 )
-def test_a_bad_first_line_is_failed_and_closed(world, line):
+def test_an_invalid_opening_is_failed_and_closed(world, line):
     with pytest.raises(edge_messages.OpeningError):
         edge_messages.create_request(edge_messages.parse_opening(line), config(), 0)
     w = world("up")
@@ -150,7 +150,7 @@
     assert not w.servers[0].heard
 
 
-def test_what_a_first_line_says_reaches_the_module():
+def test_the_fields_of_an_opening_reach_the_request():
     opening = edge_messages.parse_opening(b"OPEN 9b 7f c=resident,t=acme,d=1500,g=5c,r=1,again=1,h=2.5,at=s7")
     found = edge_messages.create_request(opening, config(), 100)
     assert (found.class_index, found.tenant_index, found.flow_key, found.group, found.expected_load) == (
@@ -163,13 +163,13 @@
     assert found.is_retry
     assert found.is_reconnect
     assert found.adopted_endpoint == "s7"
-    # The client's clock began before ours.
+    # The client's deadline counts from before the request arrived.
     assert found.deadline == 100 + 1500 * MS - DEADLINE_MARGIN
 
 
 @pytest.mark.parametrize("end", [b"\n", b"\r\nOPEN 02 0a c=tech,t=acme,d=1800\r\n"])
-def test_what_does_not_end_as_it_should_or_does_not_wait_is_failed(world, end):
-    """Sent on it would be a line that no client sent in this form."""
+def test_an_opening_with_a_wrong_line_end_or_followed_by_data_is_failed(world, end):
+    """Forwarded, it would be a line that the client did not send in this form."""
     w = world("up")
     w.words = w.words | {"open": lambda n, klass: b"OPEN 01 0a c=tech,t=acme,d=1800" + end}
     client = w.client()
@@ -178,15 +178,15 @@
     assert not w.servers[0].heard
 
 
-def test_no_client_waits_longer_than_its_class_does():
-    """Guards against a huge ``d``, which would hold its place for as long as it says."""
+def test_no_client_waits_longer_than_its_class_allows():
+    """Guards against a huge ``d``, with which a request would stay queued for as long as it says."""
     found = edge_messages.create_request(
         edge_messages.parse_opening(b"OPEN 9b 7f c=tech,d=999999999"), config(), 0
     )
     assert found.deadline == 1800 * MS - DEADLINE_MARGIN
 
 
-def test_the_id_of_an_open_connection_is_refused_and_the_first_is_not_harmed(world):
+def test_a_connection_id_in_use_is_refused_without_harm_to_the_first_connection(world):
     w = world("up")
     first = w.client(7)
     w.until(lambda: first.has("up"))
@@ -199,11 +199,11 @@
     w.until(lambda: b"still here" in first.got)
     first.conn.close()
     w.until(lambda: not w.handler.active)
-    again = w.client(7)
-    w.until(lambda: again.has("up"))
+    third = w.client(7)
+    w.until(lambda: third.has("up"))
 
 
-def test_an_overlong_first_line_is_failed(world):
+def test_an_overlong_opening_is_failed(world):
     w = world("up")
     w.words = w.words | {"open": lambda n, klass: b"OPEN " + b"x" * 5000}
     client = w.client()
@@ -211,78 +211,84 @@
     assert bytes(client.got) == b"ERR\r\n"
 
 
-def test_the_front_is_told_that_we_are_up(world):
+def test_pings_before_the_opening_are_answered(world):
     w = world("up")
     w.words = w.words | {"open": lambda n, klass: b"PING\r\nPING\r\n"}
     client = w.client()
     w.until(lambda: bytes(client.got) == b"PONG\r\nPONG\r\n")
 
 
-def test_a_server_hears_how_long_the_call_will_wait(world):
+def test_an_endpoint_is_told_how_long_the_attempt_will_wait(world):
     w = world("silent", "up")
     for n in range(4):
         w.client(n)
     w.until(lambda: w.servers[1].heard)
-    (wait,) = {int(got.split(b"d=")[1].split(b"\r")[0]) <= 1785 for s in w.servers for got in s.heard}
-    assert wait
+    (is_bounded,) = {int(got.split(b"d=")[1].split(b"\r")[0]) <= 1785 for s in w.servers for got in s.heard}
+    assert is_bounded
 
 
-def test_a_standing_connection_goes_to_its_own_server(world):
+def test_an_adopted_connection_goes_to_its_own_endpoint(world):
     w = world("up", "up", "up")
     line = b"OPEN %02x 0a c=tech,t=acme,d=4294967,at=s2\r\n"
     w.words = w.words | {"open": lambda n, klass: line % n}
-    seen = [w.client(n) for n in range(5)]
-    w.until(lambda: all(c.has("up") for c in seen))
+    clients = [w.client(n) for n in range(5)]
+    w.until(lambda: all(c.has("up") for c in clients))
     assert [len(s.heard) for s in w.servers] == [0, 0, 5]
     assert all(b"at=s2" in got for got in w.servers[2].heard)
-    numbers = w.driver.balancer.endpoints.by_id
-    assert numbers[w.driver.endpoint_ids["s2"]].in_flight == 5
+    endpoints = w.driver.balancer.endpoints.by_id
+    assert endpoints[w.driver.endpoint_ids["s2"]].in_flight == 5
 
 
 @pytest.mark.parametrize(
-    ("said", "load", "how"),
+    ("line", "load", "outcome"),
     [
         (b"LOAD 125.5\r\n", 125.5, AttemptOutcome.RESET),
         (b"BYE\r\n", None, AttemptOutcome.COMPLETED),
         (b"MOVE\r\n", None, AttemptOutcome.MIGRATED),
     ],
 )
-def test_what_a_server_says_on_an_open_connection_feeds_the_module(world, monkeypatch, said, load, how):
+def test_what_an_endpoint_reports_on_a_connection_reaches_the_balancer(
+    world, monkeypatch, line, load, outcome
+):
     w = world("up")
-    ends: list[AttemptOutcome] = []
+    outcomes: list[AttemptOutcome] = []
     report = w.driver.report_outcome
-    monkeypatch.setattr(w.driver, "report_outcome", lambda i, end: (ends.append(end), report(i, end)))
+    monkeypatch.setattr(
+        w.driver, "report_outcome", lambda request, end: (outcomes.append(end), report(request, end))
+    )
     (client,) = w.up()
-    w.servers[0].say(said)
-    w.until(lambda: said in client.got)
+    w.servers[0].say(line)
+    w.until(lambda: line in client.got)
     if load is not None:
         assert next(iter(w.driver.balancer.requests.by_id.values())).load == load
     w.servers[0].live[0].close()
     w.until(lambda: not w.handler.active)
-    assert ends == [AttemptOutcome.ESTABLISHED, how]
-    assert bytes(client.got).endswith(said)
+    assert outcomes == [AttemptOutcome.ESTABLISHED, outcome]
+    assert bytes(client.got).endswith(line)
 
 
-@pytest.mark.parametrize(("said", "ok"), [(b"PONG x0=0.5,x1=2\r\n", True), (b"ERR\r\n", False), (b"", False)])
-def test_a_probe_tells_the_module_how_a_server_is(world, monkeypatch, said, ok):
+@pytest.mark.parametrize(
+    ("answer", "ok"), [(b"PONG x0=0.5,x1=2\r\n", True), (b"ERR\r\n", False), (b"", False)]
+)
+def test_a_health_check_reports_to_the_balancer(world, monkeypatch, answer, ok):
     w = world("up", telemetry={"fields": ["x1", "x0"]})
-    heard: list[bytes | None] = []
+    received: list[bytes | None] = []
 
     def serve(conn: Connection) -> Coroutine[None]:
-        heard.append((yield from conn.read_line(100, clock() + SECOND)))
-        yield from conn.send(said, clock() + SECOND)
+        received.append((yield from conn.read_line(100, clock() + SECOND)))
+        yield from conn.send(answer, clock() + SECOND)
 
     w.driver.addresses["s0"] = f"127.0.0.1:{listen(w.loop, ('127.0.0.1', 0), 'p', serve).address[1]}"
     events: list[Any] = []
-    # The module's own timers may come first, which this is not about.
+    # Timers of the balancer may fire first; they are not tested here.
     monkeypatch.setattr(
         w.driver,
         "_notify",
-        lambda e: events.append(e) if isinstance(e, HealthCheckEnded) else None,
+        lambda event: events.append(event) if isinstance(event, HealthCheckEnded) else None,
     )
     w.handler.check_health("s0")
     w.until(lambda: events)
-    assert heard == [b"STATS"]
+    assert received == [b"STATS"]
     assert (events[0].outcome == 0) is ok
     assert events[0].report == ((2.0, 0.5) if ok else ())
 
@@ -309,10 +315,10 @@
     ],
 )
 def test_client_operations(data, verb, size):
-    op = nats_messages.parse_operation(
+    operation = nats_messages.parse_operation(
         buffer(data), 0, nats_messages.CLIENT_VERBS, nats_messages.CLIENT_LINE_MAX, 1 << 20
     )
-    assert (op and op.verb, op.size if op else 0) == (verb, size)
+    assert (operation and operation.verb, operation.size if operation else 0) == (verb, size)
 
 
 @pytest.mark.parametrize(
@@ -332,7 +338,7 @@
         (b"SUB " + b"x" * 5000 + b"\r\n", "Maximum Control Line Exceeded"),
     ],
 )
-def test_operations_that_break_the_protocol(world, data, text):
+def test_operations_that_violate_the_protocol(world, data, text):
     with pytest.raises(nats_messages.NatsProtocolError, match=text):
         nats_messages.parse_operation(
             buffer(data), 0, nats_messages.CLIENT_VERBS, nats_messages.CLIENT_LINE_MAX, 1 << 20
@@ -356,7 +362,7 @@
         (b'connect {"user":"tech","verbose":true}\r\n', b"+OK\r\n"),
     ],
 )
-def test_the_greeting(world, opening, answer):
+def test_the_greeting_of_a_nats_client(world, opening, answer):
     w = world("silent", wire="nats")
     w.words = w.words | {"open": lambda n, klass: opening}
     client = w.client()
@@ -368,24 +374,24 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "passed"),
+    ("data", "forwarded"),
     [
-        (b"PONG\r\nPONG\r\n", b"PONG\r\n"),  # the first answers our own PING
+        (b"PONG\r\nPONG\r\n", b"PONG\r\n"),  # the first answers the proxy's own PING
         (b'PONG\r\nINFO {"connect_urls":["10.0.0.1:4222"]}\r\n+OK\r\n', b"+OK\r\n"),
         (b"PONG\r\nMSG a 1 8\r\nPONG\r\n!!\r\n", b"MSG a 1 8\r\nPONG\r\n!!\r\n"),
     ],
 )
-def test_what_is_for_us_does_not_reach_the_client(said, passed):
-    out = ClientFramer(1 << 20)
-    out.on_own_message_sent()
-    into = EndpointFramer(1 << 20, out.unanswered_pings)
-    inbox = buffer(said)
-    size = into.release(inbox, 0)
-    assert inbox.take(size) == passed
-    assert not len(inbox)
+def test_operations_for_the_proxy_do_not_reach_the_client(data, forwarded):
+    client_framer = ClientFramer(1 << 20)
+    client_framer.on_own_message_sent()
+    endpoint_framer = EndpointFramer(1 << 20, client_framer.unanswered_pings)
+    received = buffer(data)
+    size = endpoint_framer.release(received, 0)
+    assert received.take(size) == forwarded
+    assert not len(received)
 
 
-def test_a_lame_server_sends_its_client_to_another_place(world):
+def test_lame_duck_mode_of_an_endpoint_migrates_its_client(world):
     w = world("up", wire="nats")
     (client,) = w.up()
     w.servers[0].say(b'MSG a 1 2\r\nhi\r\nINFO {"ldm":true,"connect_urls":["10.0.0.1:4222"]}\r\n')
@@ -395,14 +401,14 @@
     assert bytes(client.got).index(b"hi\r\n") < bytes(client.got).index(b'"ldm":true')
 
 
-def test_a_client_that_is_slow_to_send_is_no_sign_of_a_mute_server(world, monkeypatch):
-    """Our PING may not go in the middle of its message, so nothing was asked and nothing is missing."""
+def test_a_client_that_is_slow_to_send_does_not_make_its_endpoint_count_as_lost(world, monkeypatch):
+    """The proxy must not send its PING inside the client's message, so it awaits no reply."""
     monkeypatch.setattr(nats_session, "PING_AFTER", 100 * MS)
     monkeypatch.setattr(connections, "REPLY_TIMEOUT", 100 * MS)
     w = world("up", wire="nats")
     (client,) = w.up()
-    long = b"PUB a 100000\r\n" + b"x" * 80000
-    w.loop.start_task(client.conn.send(long, clock() + SECOND), "half a message")
+    first_part = b"PUB a 100000\r\n" + b"x" * 80000
+    w.loop.start_task(client.conn.send(first_part, clock() + SECOND), "half a message")
     w.until(lambda: len(w.servers[0].heard[0]) > 50000)
     w.run(0.5)
     assert not client.ended_at
@@ -410,8 +416,8 @@
     w.until(lambda: w.servers[0].heard[0].endswith(b"x\r\nPING\r\n"))
 
 
-def test_a_server_address_that_is_our_own_is_not_called(world):
-    """Seen with the example: each call came back in as a client, five hundred of them in a moment."""
+def test_no_attempt_is_made_at_the_proxys_own_address(world):
+    """Seen with the example configuration: each attempt came back as a client, 500 within a moment."""
     w = world("up", wire="nats")
     w.second.overrides["s0"] = w.second.listen
     client = w.client()
@@ -420,7 +426,7 @@
     assert w.handler._last_number == 1
 
 
-def test_our_own_pings_keep_a_quiet_client_placed(world):
+def test_the_proxys_pings_keep_the_connection_of_an_idle_client(world):
     w = world("up", wire="nats")
     (client,) = w.up()
     w.until(lambda: w.servers[0].heard[0].count(b"PING") == 3)
@@ -436,7 +442,7 @@
     ("state", "line", "status"),
     [("ready", b"up ready\n", b"200"), ("draining", b"drain\n", b"503"), ("empty list", b"down\n", b"503")],
 )
-def test_health_is_told_in_both_ways(world, state, line, status):
+def test_health_is_reported_to_agent_checks_and_over_http(world, state, line, status):
     w = world(*(["up"] if state != "empty list" else []))
     if state == "draining":
         w.handler.shutdown.is_draining = True
@@ -449,9 +455,9 @@
     ):
         w.address = w.addresses[listener]
         w.words = w.words | {"open": lambda n, klass, opening=opening: opening}
-        asker = w.client()
-        w.until(lambda asker=asker: asker.ended_at)
-        assert bytes(asker.got).startswith(answer)
+        client = w.client()
+        w.until(lambda client=client: client.ended_at)
+        assert bytes(client.got).startswith(answer)
 
 
 # --- discovery ----------------------------------------------------------------------------------------
@@ -471,43 +477,43 @@
         {"instances": [ROW], "generation": "x"},
     ],
 )
-def test_a_bad_list_is_told_from_a_good_one(doc):
+def test_an_invalid_endpoint_list_is_rejected(doc):
     with pytest.raises(ConfigError, match=r"list|settings"):
         read_update(doc, config(), EndpointIds())
 
 
-def test_a_list_is_read_by_position_and_on_our_clock():
-    numbers = EndpointIds()
+def test_an_endpoint_list_is_decoded_with_ids_and_start_times():
+    ids = EndpointIds()
     doc = {
         "generation": 4,
         "reset": True,
         "instances": [ROW | {"startedAtMs": 0}, ROW | {"instanceId": "s2"}],
     }
-    found = read_update(doc, config(), numbers)
-    assert (found.kind, found.version, len(found.endpoints)) == (UpdateKind.SNAPSHOT, 4, 2)
-    assert numbers == {"s1": found.endpoints[0].endpoint_id, "s2": found.endpoints[1].endpoint_id}
-    assert found.endpoints[0].started_at == 0
-    assert found.addresses["s2"] == "127.0.0.1:5"
-    started = read_update({"instances": [ROW | {"startedAtMs": time.time() * 1000}]}, config(), numbers)
+    update = read_update(doc, config(), ids)
+    assert (update.kind, update.version, len(update.endpoints)) == (UpdateKind.SNAPSHOT, 4, 2)
+    assert ids == {"s1": update.endpoints[0].endpoint_id, "s2": update.endpoints[1].endpoint_id}
+    assert update.endpoints[0].started_at == 0
+    assert update.addresses["s2"] == "127.0.0.1:5"
+    started = read_update({"instances": [ROW | {"startedAtMs": time.time() * 1000}]}, config(), ids)
     assert abs(started.endpoints[0].started_at - clock()) < SECOND // 10
     assert started.kind is UpdateKind.DELTA
 
 
-def test_the_watch_goes_on_from_the_list_known_without_a_gap(world):
+def test_the_watch_continues_from_the_known_version_without_a_gap(world):
     w = world("up")
     w.until(lambda: w.calls)
     assert "since=1&" in w.calls[0][1]
     w.tell(s0={"lifecycle": "Terminating"})
-    told = clock()
+    changed_at = clock()
     w.until(lambda: len(w.calls) == 2)
     assert "since=2&" in w.calls[1][1]
-    assert w.calls[1][0] - told < 200 * MS
+    assert w.calls[1][0] - changed_at < 200 * MS
 
 
-@pytest.mark.parametrize("bad", [b"[1]", b"{nonsense", b'{"instances":[{}]}'])
-def test_a_bad_answer_leaves_the_list_and_counts_as_a_failed_call(world, bad):
+@pytest.mark.parametrize("response", [b"[1]", b"{nonsense", b'{"instances":[{}]}'])
+def test_an_invalid_response_leaves_the_list_and_counts_as_a_failed_call(world, response):
     w = world("up")
-    w.bad = bad
+    w.bad = response
     w.until(lambda: w.driver.balancer.poller.failures)
     assert w.driver.ready_count == 1
     w.up()
@@ -519,13 +525,13 @@
 
 
 @pytest.mark.parametrize("text", ["", "5000", ":5000", "h:", "h:x", "h:70000"])
-def test_a_bad_address_is_refused(text):
+def test_an_invalid_address_is_rejected(text):
     with pytest.raises(ValueError, match="HOST:PORT"):
         parse_address(text)
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "expected"),
     [
         (b"{", "JSON"),
         (b"[]", "object"),
@@ -537,18 +543,18 @@
         (json.dumps({"settings": SETTINGS | {"lanes": [LANE | {"aim": "x"}]}}).encode(), "aim"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, text, word):
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text, expected):
     path = tmp_path / "config.json"
     path.write_bytes(text)
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "arrowseam", "check-config", "--config", str(path)],
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 1
-    assert not done.stdout
-    assert word in done.stderr
-    assert done.stderr.count("\n") == 1
+    assert result.returncode == 1
+    assert not result.stdout
+    assert expected in result.stderr
+    assert result.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -563,14 +569,14 @@
         b'{"listen":"127.0.0.1:1","servers":{"s":"nowhere"}}',
     ],
 )
-def test_a_bad_nats_file_is_refused(text):
+def test_an_invalid_nats_file_is_rejected(text):
     with pytest.raises(ConfigError, match="nats"):
         read_nats_config(text, config())
 
 
 @contextmanager
 def program(folder: Path, descriptors: int = 1024) -> Iterator[tuple[subprocess.Popen[bytes], int]]:
-    """The whole program, as it is started, with no server known."""
+    """Run the whole program as a process, with no endpoint known."""
     port = free_port()
     path = folder / "config.json"
     doc = {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "1", "settings": SETTINGS}
@@ -595,7 +601,7 @@
 
 
 def test_the_program_serves_reloads_on_sighup_and_ends_on_sigterm(tmp_path: Path):
-    """Each signal finds its own act: with a wake-up pipe for each, the last one made got them all."""
+    """Each signal has its own effect: with one wake-up pipe per signal, the last pipe got all signals."""
     with program(tmp_path) as (child, port):
         for text in ("reload: done", "reload: configuration: not JSON"):
             child.send_signal(signal.SIGHUP)
@@ -603,9 +609,9 @@
             while text.encode() not in (line := child.stderr.readline()):
                 assert line
             (tmp_path / "config.json").write_text("{")
-        with socket.create_connection(("127.0.0.1", port), timeout=5) as asker:
-            asker.sendall(b"PING\r\n")
-            assert asker.recv(100) == b"PONG\r\n"
+        with socket.create_connection(("127.0.0.1", port), timeout=5) as conn:
+            conn.sendall(b"PING\r\n")
+            assert conn.recv(100) == b"PONG\r\n"
             child.terminate()
         assert child.wait(timeout=10) == 0
         assert child.stderr is not None
@@ -613,48 +619,48 @@
 
 
 @pytest.mark.parametrize("descriptors", [64, 20])
-def test_every_connection_taken_is_answered_when_descriptors_run_out(tmp_path: Path, descriptors: int):
-    """64: refused early, while there are some left. 20: the spare one alone is left to answer with."""
+def test_every_accepted_connection_is_answered_when_descriptors_run_out(tmp_path: Path, descriptors: int):
+    """With 64, clients are rejected early, while some are left; with 20, only the spare one is left."""
     with program(tmp_path, descriptors) as (_, port):
-        askers = [socket.create_connection(("127.0.0.1", port), timeout=5) for _ in range(100)]
-        for n, asker in enumerate(askers):
-            asker.sendall(b"OPEN %016x 0a c=resident,t=acme,d=600\r\n" % n)
-        for asker in askers:
-            assert asker.recv(100).startswith((b"BUSY", b"ERR"))
-            asker.close()
+        clients = [socket.create_connection(("127.0.0.1", port), timeout=5) for _ in range(100)]
+        for n, client in enumerate(clients):
+            client.sendall(b"OPEN %016x 0a c=resident,t=acme,d=600\r\n" % n)
+        for client in clients:
+            assert client.recv(100).startswith((b"BUSY", b"ERR"))
+            client.close()
 
 
 @pytest.mark.parametrize("key", ["control", "listen", "health", "agent"])
-def test_two_things_on_one_address_are_refused_at_start(tmp_path, key):
-    # the listening sockets share an address with the process before them, so the system would let them
+def test_two_listeners_on_one_address_are_rejected_at_start(tmp_path, key):
+    # Listeners may share their address with those of the previous process, so the system would allow it.
     port = free_port()
     doc = {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "1", "settings": SETTINGS}
-    second = {"listen": f"127.0.0.1:{free_port()}"}
-    (doc if key == "control" else second)[key] = f"127.0.0.1:{port}"
+    nats = {"listen": f"127.0.0.1:{free_port()}"}
+    (doc if key == "control" else nats)[key] = f"127.0.0.1:{port}"
     paths = [tmp_path / "config.json", tmp_path / "nats.json"]
-    for path, text in zip(paths, (doc, second), strict=True):
+    for path, text in zip(paths, (doc, nats), strict=True):
         path.write_text(json.dumps(text))
     with pytest.raises(ConfigError, match="one address"):
         read_configuration(*map(str, paths))
-    (doc if key == "control" else second)[key] = f"127.0.0.1:{free_port()}"
-    for path, text in zip(paths, (doc, second), strict=True):
+    (doc if key == "control" else nats)[key] = f"127.0.0.1:{free_port()}"
+    for path, text in zip(paths, (doc, nats), strict=True):
         path.write_text(json.dumps(text))
     assert read_configuration(*map(str, paths))[0].listen == doc["listen"]
 
 
-def test_ports_for_tests_are_none_that_the_system_gives_for_port_0():
+def test_ports_for_tests_are_none_that_the_system_assigns_for_port_0():
     lowest = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     assert all(1024 < free_port() < lowest for _ in range(50))
 
 
-def test_servers_have_one_number_at_every_proxy_whatever_was_heard_of_first():
-    one, other = EndpointIds(), EndpointIds()
+def test_an_endpoint_has_the_same_id_at_every_proxy_in_any_order():
+    first, second = EndpointIds(), EndpointIds()
     names = ["\udcff", *(f"edge-{n}" for n in range(49))]
-    found = [one.assign(name) for name in names]
-    assert len(set(found)) == 50
-    assert min(found) > 0
-    assert [other.assign(name) for name in reversed(names)] == found[::-1]
-    met = EndpointIds()
-    met["another"] = found[0]
-    met.names[found[0]] = "another"
-    assert met.assign(names[0]) == found[0] + 1 == met.assign(names[0])
+    ids = [first.assign(name) for name in names]
+    assert len(set(ids)) == 50
+    assert min(ids) > 0
+    assert [second.assign(name) for name in reversed(names)] == ids[::-1]
+    colliding = EndpointIds()
+    colliding["another"] = ids[0]
+    colliding.names[ids[0]] = "another"
+    assert colliding.assign(names[0]) == ids[0] + 1 == colliding.assign(names[0])
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -1,4 +1,4 @@
-"""The rules on real sockets, each shown on both fronts; the wires differ, the core does not."""
+"""Request handling on real sockets, tested over both wire protocols."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 
 
 @pytest.mark.parametrize("mode", ["busy", "error", "reset", "half"])
-def test_a_call_that_fails_is_followed_by_the_next_and_never_overlaps_it(world, mode):
+def test_a_failed_attempt_is_followed_by_the_next_and_never_overlaps_it(world, mode):
     w = world(mode, "up")
-    seen = [w.client(n) for n in range(4)]
-    w.until(lambda: all(c.answers for c in seen))
+    clients = [w.client(n) for n in range(4)]
+    w.until(lambda: all(c.answers for c in clients))
     w.run(0.05)
-    assert all(c.answers == 1 for c in seen)
-    assert any(c.has("up") for c in seen)
-    # Nothing of an earlier call may be out when the next begins: one client, one call.
+    assert all(c.answers == 1 for c in clients)
+    assert any(c.has("up") for c in clients)
+    # No earlier attempt may be open when the next begins: one client, one attempt.
     w2 = world(mode, mode, "up")
     w2.client()
     w2.until(lambda: w2.servers[2].live or sum(len(s.heard) for s in w2.servers) >= 2)
     assert w2.most_flying == 1
 
 
-def test_a_client_that_none_takes_is_refused_at_once_and_told_when_to_come(world):
-    """Never held back: the module has given up, and says when to come again."""
+def test_a_client_that_no_endpoint_accepts_is_rejected_at_once(world):
+    """It is not queued: the balancer gives up, and says when to retry."""
     w = world("busy", "busy")
     client = w.client()
     w.until(lambda: client.ended_at)
@@ -49,16 +49,16 @@
     assert client.ended_at - client.began < SECOND
 
 
-def test_the_answer_comes_before_the_client_gives_up(world):
+def test_the_final_answer_comes_before_the_client_gives_up(world):
     w = world("silent", "silent")
     client = w.client(klass=b"resident")
     w.until(lambda: client.ended_at)
     assert client.answers == 1
     assert not client.has("up")
-    assert client.ended_at - client.began <= 0.658 * SECOND  # with the rules' slack
+    assert client.ended_at - client.began <= 0.658 * SECOND  # with the tolerance of the rules
 
 
-def test_nothing_new_goes_to_a_server_that_drains(world):
+def test_a_draining_endpoint_gets_no_new_connections(world):
     w = world("up", "up")
     w.up()
     w.until(lambda: w.calls)
@@ -69,18 +69,18 @@
     assert len(w.servers[0].heard) == before
 
 
-def test_a_cold_server_is_sent_less(world):
-    """It can do 2% of its work at first, and twice that would push it over."""
+def test_a_cold_endpoint_gets_fewer_connections(world):
+    """It has 2% of its capacity at first, and twice that would overload it."""
     w = world("up", "up", invariants=SETTINGS["invariants"] | {"cold_share": 0.02, "fall_multiple": 2.0})
     w.up(20)
     w.tell(s0={"startedAtMs": int(time.time() * 1000)})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
-    at = len(w.servers[0].heard), len(w.servers[1].heard)
+    before = len(w.servers[0].heard), len(w.servers[1].heard)
     w.up(40)
-    assert 3 * (len(w.servers[0].heard) - at[0]) < len(w.servers[1].heard) - at[1]
+    assert 3 * (len(w.servers[0].heard) - before[0]) < len(w.servers[1].heard) - before[1]
 
 
-def test_messages_pass_both_ways(world):
+def test_messages_are_forwarded_both_ways(world):
     w = world("up")
     (client,) = w.up()
     client.say(w.words["ask"])
@@ -88,7 +88,7 @@
     assert w.words["ask"] in w.servers[0].heard[0]
 
 
-def test_large_messages_arrive_whole_though_the_reader_is_slow(world):
+def test_large_messages_arrive_complete_at_a_slow_reader(world):
     """Guards against lost bytes at partial writes and full buffers."""
     w = world("up")
     (client,) = w.up()
@@ -105,7 +105,7 @@
     assert bytes(client.got).endswith(data)
 
 
-def test_a_move_goes_between_two_messages(world):
+def test_the_migration_message_goes_between_two_messages(world):
     w = world("up")
     (client,) = w.up()
     w.servers[0].say(w.words["half"])
@@ -122,7 +122,7 @@
     w.until(lambda: not w.servers[0].live)
 
 
-def test_a_server_that_brings_nothing_back_loses_its_client(world):
+def test_a_client_is_migrated_from_an_endpoint_that_does_not_reply(world):
     w = world("deaf")
     (client,) = w.up()
     client.say(w.words["ask"])
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_what_a_server_ends_is_ended_for_its_client(world, reset):
+def test_a_connection_that_its_endpoint_closes_is_closed_for_the_client(world, reset):
     w = world("up")
     (client,) = w.up()
     w.servers[0].live[0].close(reset=reset)
@@ -141,14 +141,14 @@
     assert client.ended_at - began < SECOND
 
 
-def test_what_a_client_ends_is_ended_at_its_server(world):
+def test_a_connection_that_its_client_closes_is_closed_at_the_endpoint(world):
     w = world("up")
     (client,) = w.up()
     client.conn.close()
     w.until(lambda: not w.servers[0].live and not w.handler.active)
 
 
-def test_a_client_that_leaves_early_ends_its_call_and_gets_no_other(world):
+def test_a_client_that_disconnects_early_ends_its_attempt_and_gets_no_other(world):
     w = world("silent", "silent")
     client = w.client()
     w.until(lambda: w.flying)
@@ -159,10 +159,10 @@
     assert not w.driver._requests
 
 
-def test_a_drain_moves_all_spread_over_the_time_and_refuses_who_comes(world):
-    """Who came was served until the drain was over, at a server that could hang into the process's end."""
+def test_a_shutdown_spreads_migrations_over_its_time_and_rejects_new_clients(world):
+    """New clients were served until the drain was over, by endpoints that could stay silent until its end."""
     w = world("up", "up")
-    seen = w.up(12)
+    clients = w.up(12)
     w.handler.shutdown.begin()
     heard = sum(len(s.heard) for s in w.servers)
     late = w.client(99)
@@ -172,13 +172,13 @@
     assert late.ended_at - late.began < SECOND // 2
     w.until(lambda: not w.handler.active and w.loop.stopped)
     assert sum(len(s.heard) for s in w.servers) == heard
-    ends = sorted(c.ended_at - late.began for c in seen)
-    assert all(c.has("moved") for c in seen)
+    ends = sorted(c.ended_at - late.began for c in clients)
+    assert all(c.has("moved") for c in clients)
     assert ends[-1] < (1.8 + 0.7) * SECOND
     assert ends[-1] - ends[0] > 0.3 * SECOND
 
 
-def test_a_drain_answers_what_is_not_placed(world):
+def test_a_shutdown_answers_requests_that_are_not_established(world):
     w = world("silent")
     client = w.client()
     w.until(lambda: w.flying)
@@ -188,7 +188,7 @@
     assert client.ended_at - client.began < (1.8 + 0.7) * SECOND
 
 
-def test_where_descriptors_are_scarce_clients_are_refused_at_once(world):
+def test_clients_are_rejected_at_once_when_descriptors_are_scarce(world):
     w = world("up")
     w.loop.descriptor_limit = len(w.loop.watched) + 10
     client = w.client()
@@ -197,26 +197,26 @@
     assert not w.servers[0].heard
 
 
-def test_the_mute_are_turned_away_and_not_whoever_comes_next(world):
-    """Hundreds that connect and say nothing held every descriptor, and the others were refused for them."""
+def test_idle_clients_are_rejected_in_place_of_new_ones(world):
+    """Hundreds of idle clients held every descriptor, and the others were rejected because of them."""
     w = world("up")
     opening, w.words = w.words, w.words | {"open": lambda n, klass: b""}
-    mute = [w.client() for _ in range(30)]
+    idle = [w.client() for _ in range(30)]
     w.until(lambda: len(w.loop.expendable) == 30)
     w.words = opening
     w.loop.descriptor_limit = len(w.loop.watched) + 20
     client = w.client()
     w.until(lambda: client.answers)
     assert client.has("up")
-    gone = [c for c in mute if c.ended_at]
-    assert gone
-    assert gone == mute[: len(gone)]
-    assert all(c.has("rejected") for c in gone)
-    w.until(lambda: all(c.ended_at for c in mute))  # nobody else may be mute for long either
-    assert max(c.ended_at - c.began for c in mute) < 3 * SECOND
+    rejected = [c for c in idle if c.ended_at]
+    assert rejected
+    assert rejected == idle[: len(rejected)]
+    assert all(c.has("rejected") for c in rejected)
+    w.until(lambda: all(c.ended_at for c in idle))  # the others may not stay idle for long either
+    assert max(c.ended_at - c.began for c in idle) < 3 * SECOND
 
 
-def test_endless_pings_are_ended_and_others_are_served_meanwhile(world):
+def test_endless_pings_are_cut_off_and_others_are_served_meanwhile(world):
     w = world("up")
     opening, w.words = w.words, w.words | {"open": lambda n, klass: b"PING\r\n" * 1000}
     noisy = w.client()
@@ -227,8 +227,8 @@
     assert bytes(noisy.got).count(b"PONG") <= 16
 
 
-def test_the_error_reaches_a_sender_of_sixty_megabytes(world):
-    """A reset that its own unread bytes brought about overtook it; and nothing of the value is kept."""
+def test_the_error_reaches_a_client_that_sends_sixty_megabytes(world):
+    """A reset, caused by unread bytes of the client, overtook the error. The payload is not buffered."""
     w = world("up")
     head = b"" if w.wire == "lines" else w.words["open"](1, b"tech") + b"PUB a 62914560\r\n"
     got, ended_at, began = bytearray(), [], clock()
@@ -236,7 +236,7 @@
     def send() -> Coroutine[None]:
         conn = yield from w.loop.connect(w.address, clock() + SECOND)
         assert (yield from conn.send(head + b"k" * (60 << 20), clock() + 10 * SECOND))
-        while not conn.eof:  # it hears nothing before all is sent
+        while not conn.eof:  # it reads nothing before all is sent
             if conn.read():
                 got.extend(conn.received.take(len(conn.received)))
             elif not conn.eof:
@@ -246,33 +246,33 @@
     w.loop.start_task(send(), "sender")
     largest = 0
 
-    def over() -> bool:
+    def has_ended() -> bool:
         nonlocal largest
         buffers = [len(c.received.data) for c in w.loop.watched.values() if isinstance(c, Connection)]
         largest = max(largest, *buffers)
         return bool(ended_at)
 
-    w.until(over, 10)
+    w.until(has_ended, 10)
     assert b"ERR" in got
     assert ended_at[0] - began < 6 * SECOND
     assert largest <= 1 << 16
 
 
-def test_a_reload_moves_to_the_new_discovery_and_keeps_what_stands(world, tmp_path):
-    """SIGHUP ended the process; now the old discovery is left in mid-call, and its list kept meanwhile."""
+def test_a_reload_switches_discovery_and_keeps_established_connections(world, tmp_path):
+    """SIGHUP ended the process. The old service is left in the middle of a call, its list stays meanwhile."""
     w = world("up", "up")
     (client,) = w.up()
     w.until(lambda: w.calls)
     path, nats = tmp_path / "config.json", tmp_path / "nats.json"
     nats.write_text(json.dumps(w.nats))
-    for text in ("{", json.dumps(w.doc | {"discovery": "nowhere"})):  # a bad file changes nothing
+    for text in ("{", json.dumps(w.doc | {"discovery": "nowhere"})):  # an invalid file changes nothing
         path.write_text(text)
         w.proxy.reload(str(path), str(nats))
     old, calls = w.proxy.discovery.http_client.conn, len(w.calls)
     assert old is not None
     assert not old.closed
     w.tell(s0={"lifecycle": "Terminating"}, s1={})
-    w.version = 0  # the new one counts anew
+    w.version = 0  # the new service has its own versions
     address = listen(w.loop, ("127.0.0.1", 0), "the new discovery", w._discovery).address
     path.write_text(json.dumps(w.doc | {"discovery": f"{address[0]}:{address[1]}"}))
     for _ in range(3):
@@ -286,7 +286,7 @@
     assert w.up()
 
 
-def test_a_fault_in_one_coroutine_ends_that_connection_only(world, monkeypatch, capfd):
+def test_an_exception_in_one_coroutine_ends_only_that_connection(world, monkeypatch, capfd):
     w = world("up")
     (good,) = w.up()
     monkeypatch.setattr(w.handler.attempts, "endpoint_address", lambda name: 1 // 0)
@@ -298,8 +298,8 @@
     assert len(w.handler.active) == len(w.driver._requests) == 1
 
 
-def test_what_came_early_reaches_the_winner_once_and_none_else(world):
-    """The hard case: a server stalls midway through its greeting, the client has spoken already."""
+def test_early_data_reaches_only_the_chosen_endpoint_and_only_once(world):
+    """The hard case: endpoints stall in the middle of the greeting, and the client has already sent data."""
     w = world("half", "half", "half", "up")
     early = b"SUB news 1\r\nPUB a 2\r\nhi\r\n" if w.wire == "nats" else b"early\r\n"
     client = w.client(more=early)
@@ -311,61 +311,63 @@
     assert sum(bytes(got).count(early) for got in w.servers[3].heard) == heard["s3"]
 
 
-def test_messages_may_be_cut_at_any_byte(world):
-    """Openings, greetings, answers and messages both ways: each in two parts, cut at each of its bytes."""
+def test_messages_may_be_split_at_any_byte(world):
+    """Openings, greetings, answers and messages both ways: each in two parts, split at each of its bytes."""
     w = world("drip")
 
-    def cut(data: bytes, say: Callable[[int, bytes], None]) -> None:
-        """Say the data on one connection for each cut, in two parts that arrive apart."""
-        cuts = range(1, len(data))
-        for n in cuts:
-            say(n, data[:n])
+    def send_split(data: bytes, send: Callable[[int, bytes], None]) -> None:
+        """Send the data on one connection for each position, in two parts that arrive separately."""
+        positions = range(1, len(data))
+        for n in positions:
+            send(n, data[:n])
         w.run(0.05)
-        for n in cuts:
-            say(n, data[n:])
+        for n in positions:
+            send(n, data[n:])
 
-    whole = w.words["open"](0, b"tech")
-    seen: dict[int, Any] = {}
+    opening = w.words["open"](0, b"tech")
+    clients: dict[int, Any] = {}
 
-    def open_or_say(n: int, part: bytes) -> None:
-        if n in seen:
-            seen[n].say(w.words["open"](n, b"tech")[n:])
+    def open_or_send(n: int, part: bytes) -> None:
+        if n in clients:
+            clients[n].say(w.words["open"](n, b"tech")[n:])
         else:
-            seen[n] = StandInClient(w, w.words["open"](n, b"tech")[:n])
+            clients[n] = StandInClient(w, w.words["open"](n, b"tech")[:n])
 
-    cut(whole, open_or_say)
-    w.until(lambda: all(c.has("up") for c in seen.values()))
+    send_split(opening, open_or_send)
+    w.until(lambda: all(c.has("up") for c in clients.values()))
     server = w.servers[0]
     server.mode = "up"
-    before = [len(c.got) for c in seen.values()]
+    before = [len(c.got) for c in clients.values()]
     ask = w.words["ask"]
-    cut(ask, lambda n, part: seen[n].say(part))
-    w.until(lambda: sum(c.has("reply") for c in seen.values()) == len(ask) - 1)
+    send_split(ask, lambda n, part: clients[n].say(part))
+    w.until(lambda: sum(c.has("reply") for c in clients.values()) == len(ask) - 1)
     assert sum(ask in got for got in server.heard) == len(ask) - 1
-    assert sum(len(c.got) > b for c, b in zip(seen.values(), before)) == len(ask) - 1
-    for client in seen.values():
+    assert sum(len(c.got) > b for c, b in zip(clients.values(), before)) == len(ask) - 1
+    for client in clients.values():
         client.got.clear()
-    news = w.words["half"] + w.words["rest"]
+    message = w.words["half"] + w.words["rest"]
     live = list(server.live)
-    cut(news, lambda n, part: live[n].write(part) and None)
-    w.until(lambda: sum(bytes(c.got) == news for c in seen.values()) == len(news) - 1)
+    send_split(message, lambda n, part: live[n].write(part) and None)
+    w.until(lambda: sum(bytes(c.got) == message for c in clients.values()) == len(message) - 1)
 
 
-def test_who_walks_away_at_any_moment_frees_everything_at_once(world):
+def test_a_client_that_disconnects_at_any_moment_frees_everything_at_once(world):
     w = world("up", "silent", "half")
     base = len(w.loop.watched)
     opening = w.words["open"](1, b"tech")
-    seen = [StandInClient(w, w.words["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)]
-    w.until(lambda: all(c.conn is not None for c in seen) and len(w.handler.active) >= 4)
-    for client in seen:
+    clients = [
+        StandInClient(w, w.words["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)
+    ]
+    w.until(lambda: all(c.conn is not None for c in clients) and len(w.handler.active) >= 4)
+    for client in clients:
         client.conn.close()
     w.until(lambda: not w.handler.active and not w.driver._requests, 2)
     w.until(lambda: not w.driver.balancer.requests.by_id and not w.proxy.edge_server.connection_ids, 2)
     w.until(lambda: not any(s.live for s in w.servers) and len(w.loop.watched) <= base + 3, 2)
 
 
-def test_a_connection_that_ends_leaves_nothing_to_the_collector(world):
-    """Its buffers are freed at once, and what is kept out of the collector's way keeps no connections."""
+def test_a_connection_that_ends_leaves_nothing_to_the_garbage_collector(world):
+    """Its buffers are freed at once, and objects that the collector ignores hold no connections."""
     w = world("up")
     w.up(2)
     gc.collect()
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -1,5 +1,8 @@
-"""Whatever ends something, at the instant in which something is still owed: each crossing is forced, on real
-sockets, on both fronts where it applies. ``docs/design/endings.md`` has the table of them."""
+"""Races between a termination (shutdown, disconnect, timeout, close) and an answer or data that is still due.
+
+Each is forced on real sockets, over both wire protocols where it applies. ``docs/design/endings.md`` has the
+table of them.
+"""
 
 from __future__ import annotations
 
@@ -31,25 +34,25 @@
 
 
 @pytest.fixture
-def plain() -> Iterator[Callable[..., World]]:
-    """For what no front has a part in."""
+def line_world() -> Iterator[Callable[..., World]]:
+    """For tests that do not depend on the wire protocol."""
     yield from create_worlds("lines")
 
 
-class Raw:
-    """A client outside the loop, so that what it does happens at the very moment at which it is told to."""
+class RawClient:
+    """A client outside the event loop, so that everything it does happens at once."""
 
     def __init__(self, w: World) -> None:
         self.w, self.got, self.reset, self.eof = w, b"", False, False
         self.sock = socket.create_connection(w.address, timeout=5)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def open(self, number: int = 1, klass: bytes = b"tech") -> Raw:
+    def open(self, number: int = 1, klass: bytes = b"tech") -> RawClient:
         self.sock.sendall(self.w.words["open"](number, klass))
         return self
 
     def leave(self, how: str) -> None:
-        if how == "bytes":  # more than is held of anybody who waits, and the end behind it
+        if how == "bytes":  # more than is buffered of a waiting client, followed by the end
             self.sock.setblocking(False)
             size = 0
             while size < 60_000:
@@ -62,7 +65,7 @@
         self.sock.close()
 
     def read(self) -> bytes:
-        """All that has come."""
+        """Everything received so far."""
         self.sock.setblocking(False)
         while not self.eof:
             try:
@@ -84,20 +87,20 @@
         return self.w.words[word] in self.read()
 
 
-def openings(w: World) -> int:
-    """Attempts that have begun at any server."""
+def count_openings(w: World) -> int:
+    """How many attempts have sent their opening to any endpoint."""
     word = b"OPEN " if w.wire == "lines" else b"CONNECT "
     return sum(word in got for server in w.servers for got in server.heard)
 
 
-def stall(seconds: float) -> None:
-    """The process stands still, in the middle of a round."""
+def block(seconds: float) -> None:
+    """Block the process in the middle of a round of the event loop."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         pass
 
 
-def lane(effect: str, **fields: Any) -> dict[str, Any]:
+def with_effect(effect: str, **fields: Any) -> dict[str, Any]:
     return {"lanes": [LANE | {"effect": effect} | fields, SETTINGS["lanes"][1]]}
 
 
@@ -105,14 +108,14 @@
 
 
 def test_clients_in_the_accept_queue_at_the_shutdown_are_answered(world, monkeypatch):
-    """Whoever was in the accept queue was taken at the last moment and reset: nobody waited for them."""
+    """Clients in the accept queue were accepted at the last moment and reset when the process ended."""
     w = world("up")
-    late: list[Raw] = []
+    late: list[RawClient] = []
     close = Listener.close
 
     def closing(listener: Listener) -> None:
         if listener.address == w.address:
-            late.extend([Raw(w).open(7), Raw(w)])
+            late.extend([RawClient(w).open(7), RawClient(w)])
         close(listener)
 
     monkeypatch.setattr(Listener, "close", closing)
@@ -121,31 +124,31 @@
     assert late[0].has("rejected")
     assert late[1].has("rejected")
     assert not any(c.reset for c in late)
-    assert not openings(w)
+    assert not count_openings(w)
 
 
 @pytest.mark.parametrize("half", [0, 6])
-@pytest.mark.parametrize("speaks", [False, True])
-def test_an_idle_client_is_answered_at_the_shutdown_even_if_it_sends(world, monkeypatch, speaks, half):
-    """Having said nothing, or half a line."""
+@pytest.mark.parametrize("sends", [False, True])
+def test_an_idle_client_is_answered_at_the_shutdown_even_if_it_sends(world, monkeypatch, sends, half):
+    """It has sent nothing, or half a line."""
     w = world("up")
-    resting = Raw(w)
-    resting.sock.sendall(w.words["open"](1, b"tech")[:half])
+    idle_client = RawClient(w)
+    idle_client.sock.sendall(w.words["open"](1, b"tech")[:half])
     w.until(lambda: len(w.loop.expendable) == 1)
     end = Connection.shutdown_write
 
     def ending(conn: Connection) -> None:
-        if speaks and conn.sock.getpeername() == resting.sock.getsockname():
-            resting.open()
+        if sends and conn.sock.getpeername() == idle_client.sock.getsockname():
+            idle_client.open()
         end(conn)
 
     monkeypatch.setattr(Connection, "shutdown_write", ending)
     w.handler.shutdown.begin()
-    w.until(resting.ended)
+    w.until(idle_client.ended)
     assert w.handler.shutdown.is_closing
-    assert resting.has("rejected")
-    assert not resting.reset
-    assert not openings(w)
+    assert idle_client.has("rejected")
+    assert not idle_client.reset
+    assert not count_openings(w)
 
 
 @pytest.mark.parametrize(
@@ -158,11 +161,11 @@
     ],
 )
 def test_an_attempt_aborted_by_the_shutdown_is_rejected_if_it_may_be_repeated(world, effect, fields, word):
-    """All were told that trying again is harmless, whatever a silent server may have done meanwhile."""
-    one = SETTINGS["caps"] | {"max_attempts": 1}  # which has all the time there is
-    w = world("silent", caps=one, **lane(effect, **fields))
+    """Every request was rejected as safe to retry, although a silent endpoint may have executed it."""
+    caps = SETTINGS["caps"] | {"max_attempts": 1}  # a single attempt may take the whole deadline
+    w = world("silent", caps=caps, **with_effect(effect, **fields))
     client = w.client()
-    w.until(openings_of(w))
+    w.until(opening_counter(w))
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at)
     assert client.ended_at - client.began < 1.75 * SECOND  # by the drain, not by its deadline
@@ -170,29 +173,29 @@
     assert client.answers == 1
 
 
-def openings_of(w: World) -> Callable[[], int]:
-    return lambda: openings(w)
+def opening_counter(w: World) -> Callable[[], int]:
+    return lambda: count_openings(w)
 
 
 def test_a_request_between_two_attempts_at_the_shutdown_gets_one_answer_and_no_attempt(world):
-    """Its server has refused it, and none other is to be had before the last moment."""
+    """Its endpoint has rejected it, and no other is available before the last moment."""
     w = world("busy", "up", known=False)
     client = w.client()
     w.until(lambda: w.handler.active)
     w.tell(s0={})
-    w.until(openings_of(w))
+    w.until(opening_counter(w))
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at)
     assert client.has("rejected")
     assert client.answers == 1
-    assert openings(w) == 1
+    assert count_openings(w) == 1
     w.tell(s1={})
     w.until(lambda: w.handler.shutdown.is_closing)
     assert not w.servers[1].heard
 
 
 def test_a_request_that_cannot_have_run_is_rejected_at_the_shutdown_whatever_its_class(world):
-    w = world("up", known=False, **lane("fragile"))
+    w = world("up", known=False, **with_effect("fragile"))
     client = w.client()
     w.until(lambda: w.handler.active)
     w.handler.shutdown.begin()
@@ -202,10 +205,10 @@
 
 
 def test_a_request_accepted_by_its_endpoint_at_the_shutdown_is_served_and_migrated(world):
-    """UP in the round in which the last moment comes: one answer, and never a cut without MOVE."""
-    w = world("silent", caps=SETTINGS["caps"] | {"max_attempts": 1})  # which has all the time there is
+    """UP in the round of the last moment: one answer, and no connection closed without MOVE."""
+    w = world("silent", caps=SETTINGS["caps"] | {"max_attempts": 1})  # it may take the whole deadline
     client = w.client()
-    w.until(openings_of(w))
+    w.until(opening_counter(w))
     w.handler.shutdown.begin()
     (request,) = w.handler.active.values()
 
@@ -213,27 +216,27 @@
     w.servers[0].say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
     w.until(lambda: client.ended_at)
     moved = client.has("moved")
-    # The silent server's one PONG is for our PING; the client's own is never answered there.
+    # The silent endpoint's one PONG answers the proxy's PING; the client's own PING stays unanswered.
     assert client.answers == (1 if w.wire == "lines" or not moved else 0)
     assert moved or client.has("rejected")
 
 
 def test_a_peer_that_does_not_close_does_not_hold_the_process_beyond_its_time(world):
-    """It was heard out for five seconds, and the process was killed with all that it still had to say."""
+    """The process read from it for five seconds, and was killed with other answers still unsent."""
     w = world("up")
-    raw = Raw(w).open()
+    raw = RawClient(w).open()
     w.until(lambda: raw.has("up"))
     w.handler.shutdown.begin()
     began = clock()
 
-    def talking() -> bool:
+    def keeps_sending() -> bool:
         try:
             raw.sock.send(b"still here\r\n" if w.wire == "lines" else b"PUB a 2\r\nhi\r\n")
         except OSError:
             return True
         return w.loop.stopped
 
-    w.until(lambda: talking() and w.loop.stopped, 8)
+    w.until(lambda: keeps_sending() and w.loop.stopped, 8)
     assert clock() - began < (1.8 + 0.7) * SECOND
     assert raw.has("moved")
 
@@ -249,9 +252,9 @@
 
 
 def test_signals_during_the_shutdown_do_not_change_its_end(world, tmp_path):
-    """A second SIGTERM; SIGHUP with discovery that moves in the same moment."""
+    """A second SIGTERM, and SIGHUP with a new address of discovery at the same moment."""
     w = world("up", "up")
-    seen = w.up(6)
+    clients = w.up(6)
     path, second = tmp_path / "config.json", tmp_path / "nats.json"
     second.write_text(json.dumps(w.nats))
     path.write_text(json.dumps(w.doc | {"discovery": f"127.0.0.1:{free_port()}"}))
@@ -262,45 +265,45 @@
     w.run(0.1)
     w.handler.shutdown.begin()
     w.until(lambda: w.loop.stopped and not w.handler.active)
-    assert all(c.has("moved") for c in seen)
+    assert all(c.has("moved") for c in clients)
     assert clock() - began < (1.8 + 0.7) * SECOND
 
 
-# --- clients that are gone --------------------------------------------------------------------------------
+# --- clients that have left -------------------------------------------------------------------------------
 
-GONE = ["fin", "rst", "bytes"]
+WAYS_TO_LEAVE = ["fin", "rst", "bytes"]
 
 
-@pytest.mark.parametrize("how", GONE)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 def test_a_client_that_left_while_queued_gets_no_attempt(world, how):
     w = world("up", known=False)
-    raw = Raw(w).open()
+    raw = RawClient(w).open()
     w.until(lambda: w.handler.active)
     raw.leave(how)
     w.tell(s0={})
     w.until(lambda: not w.handler.active and w.driver.ready_count)
     w.run(0.2)
-    assert not openings(w)
+    assert not count_openings(w)
     assert not w.driver._requests
 
 
-@pytest.mark.parametrize("how", GONE)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 def test_a_client_that_left_before_it_was_accepted_gets_no_attempt(world, how):
-    """All of it lies in the accept queue: the opening, what came behind it, and the end."""
+    """The accept queue has everything: the opening, the data after it, and the end."""
     w = world("up")
-    raw = Raw(w).open()
+    raw = RawClient(w).open()
     raw.leave(how)
     w.run(0.2)
-    assert not openings(w)
+    assert not count_openings(w)
     assert not w.handler.active
 
 
-@pytest.mark.parametrize("how", GONE)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("first", ["busy", "reset"])
 def test_a_client_that_leaves_in_the_round_of_an_answer_gets_no_retry(world, monkeypatch, how, first):
-    """The round stood still: what epoll said at its beginning was old when the next attempt went out."""
+    """The round was blocked: the events of epoll were outdated when the next attempt was made."""
     w = world(first, first)
-    raw = Raw(w)
+    raw = RawClient(w)
     report = w.driver.report_outcome
     ends: list[str] = []
 
@@ -308,44 +311,44 @@
         ends.append(end)
         if len(ends) == 1:
             raw.leave(how)
-            stall(0.12)
+            block(0.12)
         report(request, end)
 
     monkeypatch.setattr(w.driver, "report_outcome", reported)
     raw.open()
     w.until(lambda: ends and not w.handler.active)
     w.run(0.1)
-    assert openings(w) == 1
+    assert count_openings(w) == 1
     assert not w.driver._requests
 
 
-@pytest.mark.parametrize("how", GONE)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 def test_a_client_that_leaves_during_the_connect_gets_no_attempt(world, monkeypatch, how):
     w = world("up")
-    raw = Raw(w)
+    raw = RawClient(w)
     connect = w.loop.connect
 
     def slow(*args: Any, **fields: Any) -> Coroutine[Any]:
         conn = yield from connect(*args, **fields)
         if args[0][1] == w.servers[0].listener.address[1] and not raw.sock._closed:
             raw.leave(how)
-            stall(0.12)
+            block(0.12)
         return conn
 
     monkeypatch.setattr(w.loop, "connect", slow)
     raw.open()
     w.until(lambda: raw.sock._closed and not w.handler.active)
     w.run(0.1)
-    assert not openings(w)
+    assert not count_openings(w)
 
 
-# --- between the choice of a server and the first byte ----------------------------------------------------
+# --- between the choice of an endpoint and the first byte -------------------------------------------------
 
 
 def late_connect(
     w: World, monkeypatch: pytest.MonkeyPatch, act: Callable[[int], Coroutine[None]]
 ) -> list[int]:
-    """Something happens between the choice of a server and the moment its connection is up."""
+    """Run ``act`` between the choice of an endpoint and the use of its connection."""
     connect, ports = w.loop.connect, {s.listener.address[1] for s in w.servers}
     calls: list[int] = []
 
@@ -373,37 +376,37 @@
                 yield clock() + MS
 
     calls = late_connect(w, monkeypatch, drains)
-    raw = Raw(w).open()
+    raw = RawClient(w).open()
     w.until(lambda: raw.has("up"))
     first = next(s for s in w.servers if s.listener.address[1] == calls[0])
     word = b"OPEN " if w.wire == "lines" else b"CONNECT "
     assert not any(word in got for got in first.heard)
-    assert openings(w) == 1
-    assert not w.driver.balancer.outliers.failing  # it is no fault of the server's
+    assert count_openings(w) == 1
+    assert not w.driver.balancer.outliers.failing  # it is no failure of the endpoint
 
 
 def test_no_retry_begins_after_the_deduplication_window(world, monkeypatch):
-    """It was chosen within the window, and its connection came up after it."""
+    """The endpoint was chosen within the window, and connected after its end."""
     window = 150 * MS
-    w = world("reset", "reset", **lane("dedup", key_scope="all", key_ttl=window))
+    w = world("reset", "reset", **with_effect("dedup", key_scope="all", key_ttl=window))
 
-    def comes_late(call: int) -> Coroutine[None]:
+    def delays(call: int) -> Coroutine[None]:
         until = clock() + (2 * window if call == 2 else 0)
         while clock() < until:
             yield until
 
-    calls = late_connect(w, monkeypatch, comes_late)
+    calls = late_connect(w, monkeypatch, delays)
     client = w.client()
     w.until(lambda: client.ended_at)
     assert len(calls) == 2
-    assert openings(w) == 1
+    assert count_openings(w) == 1
     assert client.has("rejected")
     assert client.answers == 1
 
 
 def test_an_endpoint_that_drains_while_a_request_is_queued_is_not_chosen(world):
     w = world("up", "up", known=False)
-    raw = Raw(w).open()
+    raw = RawClient(w).open()
     w.until(lambda: w.handler.active)
     w.tell(s0={"lifecycle": "Terminating"}, s1={})
     w.until(lambda: raw.has("up"))
@@ -414,25 +417,25 @@
 # --- the end of an attempt --------------------------------------------------------------------------------
 
 
-def test_an_answer_in_the_round_of_its_time_out_is_the_only_one(world):
-    """The process stood still past the time-out, and the answer had come meanwhile: it is taken, or the
-    server is left and hears no more; never both."""
+def test_an_answer_in_the_round_of_its_timeout_is_the_only_one(world):
+    """The process is blocked past the timeout, and the answer arrives meanwhile: it is accepted, or the
+    attempt is closed; never both."""
     w = world("silent", "silent")
-    raw = Raw(w).open()
-    w.until(openings_of(w))
+    raw = RawClient(w).open()
+    w.until(opening_counter(w))
     first = next(s for s in w.servers if s.heard)
     first.say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
-    stall(1.0)  # the attempt had 360 ms
+    block(1.0)  # the attempt had 360 ms
     w.run(0.3)
     assert w.most_flying <= 1
-    assert openings(w) == 1
+    assert count_openings(w) == 1
     assert raw.got.count(w.words["up"]) <= 1
     assert not raw.has("rejected")
     assert not raw.has("failed")
 
 
 def test_the_final_answer_is_due_before_the_client_gives_up(world):
-    """On NATS it was due at the end of the class's deadline, when the client had gone."""
+    """On NATS it was due at the end of the class's deadline, when the client had already given up."""
     w = world("silent")
     began = clock()
     w.client(1, b"resident")
@@ -444,36 +447,36 @@
 
 def test_a_late_answer_to_an_attempt_that_was_given_up_goes_to_nobody(world):
     w = world("silent", "up")
-    seen = [Raw(w).open(n) for n in range(1, 9)]
+    clients = [RawClient(w).open(n) for n in range(1, 9)]
     late = w.servers[0]
     w.until(lambda: late.live)
     answered: list[Connection] = []
 
-    def speaks_late() -> bool:
-        """Each time one of its connections is given up, it answers there all the same."""
+    def answers_late() -> bool:
+        """The endpoint answers on each connection that the proxy has given up."""
         for conn in late.live:
             if conn.hung_up and conn not in answered:
                 answered.append(conn)
                 conn.write(b"UP late\r\n" if w.wire == "lines" else b"PONG\r\n")
-        return all(c.has("up") or c.ended() for c in seen)
+        return all(c.has("up") or c.ended() for c in clients)
 
-    w.until(speaks_late)
+    w.until(answers_late)
     w.run(0.1)
-    assert all(c.read().count(w.words["up"]) <= 1 and b"late" not in c.got for c in seen)
-    assert any(c.has("up") for c in seen)
+    assert all(c.read().count(w.words["up"]) <= 1 and b"late" not in c.got for c in clients)
+    assert any(c.has("up") for c in clients)
 
 
-@pytest.mark.parametrize("said", [b"", b"UP", b"UP r1", b"LOAD 1\r\nUP r"])
+@pytest.mark.parametrize("answer", [b"", b"UP", b"UP r1", b"LOAD 1\r\nUP r"])
 @pytest.mark.parametrize("reset", [False, True])
-def test_an_answer_that_breaks_off_is_none(plain, said, reset):
-    w = plain("silent", "silent", "up")
+def test_an_incomplete_answer_does_not_count(line_world, answer, reset):
+    w = line_world("silent", "silent", "up")
     client = w.client()
 
     def broken_off() -> bool:
         for server in w.servers[:2]:
             for conn in list(server.live):
                 if any(b"OPEN" in got for got in server.heard) and not conn.closed:
-                    conn.write(said)
+                    conn.write(answer)
                     conn.close(reset=reset)
         return client.answers > 0
 
@@ -484,77 +487,77 @@
 
 
 def test_a_connect_that_times_out_has_never_run(world):
-    """Whatever the class: nothing was written, so the next server is asked, or it is refused."""
-    w = world("up", **lane("fragile"))
+    """Whatever its class: nothing was sent, so the next endpoint is tried, or the request is rejected."""
+    w = world("up", **with_effect("fragile"))
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
-    taken = [socket.socket() for _ in range(4)]
-    for one in taken:
-        one.setblocking(False)
-        one.connect_ex(full.getsockname())
+    queued = [socket.socket() for _ in range(4)]
+    for sock in queued:
+        sock.setblocking(False)
+        sock.connect_ex(full.getsockname())
     address = w.handler.attempts.endpoint_address
     w.handler.attempts.endpoint_address = lambda server: full.getsockname() if address(server) else None
     if w.wire == "nats":
         object.__setattr__(w.proxy.nats_server.nats_config, "overrides", {})
         object.__setattr__(w.proxy.nats_server.nats_config, "server_port", full.getsockname()[1])
-    raw, began = Raw(w).open(), clock()
+    raw, began = RawClient(w).open(), clock()
     w.until(raw.ended)
     assert raw.has("rejected")
     assert not raw.has("failed")
     assert clock() - began < 1.9 * SECOND
-    for one in [full, *taken]:
-        one.close()
+    for sock in [full, *queued]:
+        sock.close()
 
 
 # --- closing ----------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("half", [b"", b"OPEN 1"])
-def test_a_client_closed_for_want_of_descriptors_reads_why_even_if_it_sends(world, monkeypatch, half):
-    """Its own bytes, come after we looked last, brought about a reset that took our word with it."""
+def test_a_client_closed_for_lack_of_descriptors_is_told_why_even_if_it_sends(world, monkeypatch, half):
+    """Bytes that arrived after the last read caused a reset, which discarded the answer."""
     w = world("up")
-    resting = Raw(w)
-    resting.sock.sendall(half if w.wire == "lines" else half.replace(b"OPEN 1", b"CONN"))
+    idle_client = RawClient(w)
+    idle_client.sock.sendall(half if w.wire == "lines" else half.replace(b"OPEN 1", b"CONN"))
     w.until(lambda: len(w.loop.expendable) == 1)
     w.run(0.05)
     write = Connection.write
 
     def writing(conn: Connection, data: bytes) -> int:
         if conn in w.loop.expendable:
-            resting.open()
+            idle_client.open()
         return write(conn, data)
 
     monkeypatch.setattr(Connection, "write", writing)
     w.loop.descriptor_limit = len(w.loop.watched) + 10
     w.loop.reclaim_descriptors()
-    w.until(resting.ended)
-    assert resting.has("rejected")
-    assert not resting.reset
+    w.until(idle_client.ended)
+    assert idle_client.has("rejected")
+    assert not idle_client.reset
 
 
-def test_an_idle_client_that_times_out_reads_why_even_if_it_sends(world, monkeypatch):
+def test_an_idle_client_that_times_out_is_told_why_even_if_it_sends(world, monkeypatch):
     monkeypatch.setattr(edge_server, "OPENING_TIMEOUT", 100 * MS)
     monkeypatch.setattr(nats_server, "GREETING_TIMEOUT", 100 * MS)
     w = world("up")
-    resting = Raw(w)
+    idle_client = RawClient(w)
     end = Connection.shutdown_write
 
     def ending(conn: Connection) -> None:
         end(conn)
-        if conn.sock.getpeername() == resting.sock.getsockname():
-            resting.open()
+        if conn.sock.getpeername() == idle_client.sock.getsockname():
+            idle_client.open()
 
     monkeypatch.setattr(Connection, "shutdown_write", ending)
-    w.until(resting.ended)
-    assert resting.has("rejected") or b"-ERR" in resting.got
-    assert not resting.reset
-    resting.sock.close()
-    w.until(lambda: not openings(w) and not w.loop.expendable)
+    w.until(idle_client.ended)
+    assert idle_client.has("rejected") or b"-ERR" in idle_client.got
+    assert not idle_client.reset
+    idle_client.sock.close()
+    w.until(lambda: not count_openings(w) and not w.loop.expendable)
 
 
 def test_no_retry_after_where_the_settings_allow_none(world):
     w = world("up", caps=SETTINGS["caps"] | {"retry_after": False})
     w.handler.shutdown.begin()
-    raw = Raw(w).open()
+    raw = RawClient(w).open()
     w.until(raw.ended)
     assert b"BUSY\r\n" in raw.got if w.wire == "lines" else b"Maximum Connections Exceeded'" in raw.got
 
@@ -562,36 +565,36 @@
 def test_a_peer_that_never_closes_is_bounded_in_time_and_count(world):
     w = world("busy")
     base = len(w.loop.watched)
-    seen = [Raw(w).open(n) for n in range(30)]
-    w.until(lambda: all(c.has("rejected") for c in seen))
+    clients = [RawClient(w).open(n) for n in range(30)]
+    w.until(lambda: all(c.has("rejected") for c in clients))
     began = clock()
-    w.until(lambda: len(w.loop.watched) <= base + 4, 4)  # discovery's two connections, and what it asks
+    w.until(lambda: len(w.loop.watched) <= base + 4, 4)  # discovery's two connections, and its calls
     assert clock() - began < 2 * SECOND
-    assert not any(c.reset for c in seen)
+    assert not any(c.reset for c in clients)
 
 
 @pytest.mark.parametrize("side", ["client", "server"])
 def test_bytes_sent_just_before_a_close_arrive_before_it(world, side):
-    """Small words, one right after the other, the last of them with the end behind it, in both directions."""
+    """Small messages in close succession, the last of them followed by the end, in both directions."""
     w = world("up")
-    raw = Raw(w).open()
+    raw = RawClient(w).open()
     w.until(lambda: raw.has("up"))
-    words = [w.words["half"] + w.words["rest"]] * 20 if side == "server" else [w.words["ask"]] * 20
+    messages = [w.words["half"] + w.words["rest"]] * 20 if side == "server" else [w.words["ask"]] * 20
     w.until(lambda: w.servers[0].live)
     got = w.servers[0].heard[0]
     if side == "server":
         conn = w.servers[0].live[0]
-        for word in words:
-            assert conn.write(word) == len(word)
+        for message in messages:
+            assert conn.write(message) == len(message)
         conn.close()
         w.until(raw.ended)
-        assert raw.got.endswith(b"".join(words))
+        assert raw.got.endswith(b"".join(messages))
         assert not raw.reset
     else:
-        for word in words:
-            raw.sock.sendall(word)
+        for message in messages:
+            raw.sock.sendall(message)
         raw.sock.shutdown(socket.SHUT_WR)
-        w.until(lambda: bytes(got).endswith(b"".join(words)))
+        w.until(lambda: bytes(got).endswith(b"".join(messages)))
         w.until(lambda: not w.handler.active)
 
 
@@ -600,72 +603,72 @@
 
 def test_a_lack_of_descriptors_is_no_failure_of_an_endpoint(world):
     w = world("up", "up")
-    raw = Raw(w)
+    raw = RawClient(w)
     w.until(lambda: w.loop.expendable)
     w.loop.descriptor_limit = len(w.loop.watched) + 4
     raw.open()
     w.until(raw.ended)
     assert raw.has("rejected")
-    assert not openings(w)
+    assert not count_openings(w)
     assert not w.driver.balancer.outliers.failing
 
 
 def test_a_queued_request_has_a_descriptor_reserved(world):
-    """Five hundred were let in while no server was known, and then had nothing left to call one with."""
+    """500 clients were accepted while no endpoint was known; then no descriptor was left for attempts."""
     w = world("up", known=False)
     free = 120
     w.loop.descriptor_limit = len(w.loop.watched) + free
-    seen: list[Raw] = []
-    while not any(c.ended() for c in seen):  # one after the other
-        seen.append(Raw(w).open(len(seen)))
-        w.until(lambda: len(w.handler.active) == len(seen) or seen[-1].ended())
-    taken = len(w.handler.active)
-    assert taken >= 5
-    assert 2 * taken <= free - 8
+    clients: list[RawClient] = []
+    while not any(c.ended() for c in clients):  # one after the other
+        clients.append(RawClient(w).open(len(clients)))
+        w.until(lambda: len(w.handler.active) == len(clients) or clients[-1].ended())
+    queued = len(w.handler.active)
+    assert queued >= 5
+    assert 2 * queued <= free - 8
     w.tell(s0={})
-    w.until(lambda: sum(c.has("up") for c in seen) == taken)
+    w.until(lambda: sum(c.has("up") for c in clients) == queued)
 
 
 # --- floods -----------------------------------------------------------------------------------------------
 
 
-POUR = """
+FLOOD_SCRIPT = """
 import socket, sys, time
 listener = socket.create_server(("127.0.0.1", 0))
 print(listener.getsockname()[1], flush=True)
 sock, _ = listener.accept()
 stop = time.monotonic() + 4
-words = sys.argv[1].encode() * 2000
+data = sys.argv[1].encode() * 2000
 while time.monotonic() < stop:
-    sock.sendall(words)
+    sock.sendall(data)
 """
 
 
 def test_an_endpoint_that_never_finishes_its_answer_does_not_hold_up_others(world):
-    """Its words were read as fast as it said them, for as long as it did: nothing else was done meanwhile."""
+    """Its bytes were read for as long as it sent them, and the event loop did nothing else meanwhile."""
     w = world("up")
-    word = b"LOAD 1.0\r\n" if w.wire == "lines" else w.words["greeting"]
-    flood = subprocess.Popen([sys.executable, "-c", POUR, word.decode()], stdout=subprocess.PIPE)
+    message = b"LOAD 1.0\r\n" if w.wire == "lines" else w.words["greeting"]
+    flood = subprocess.Popen([sys.executable, "-c", FLOOD_SCRIPT, message.decode()], stdout=subprocess.PIPE)
     assert flood.stdout is not None
     port = int(flood.stdout.readline())
     address = w.handler.attempts.endpoint_address
-    poured: list[str] = []
+    flooding: list[str] = []
 
-    def first_there(server: str) -> Any:
-        if not poured:
-            poured.append(server)
+    def flood_first(endpoint: str) -> Any:
+        if not flooding:
+            flooding.append(endpoint)
             return ("127.0.0.1", port)
-        return address(server)
+        return address(endpoint)
 
-    w.handler.attempts.endpoint_address = first_there  # type: ignore[method-assign]
+    w.handler.attempts.endpoint_address = flood_first  # type: ignore[method-assign]
     override = w.proxy.nats_server.nats_config.endpoint_address if w.proxy.nats_server else None
     if w.wire == "nats" and override is not None:
         object.__setattr__(w.proxy.nats_server.nats_config, "overrides", {})
         object.__setattr__(w.proxy.nats_server.nats_config, "server_port", port)
-    victim = Raw(w).open(1, b"resident")
+    victim = RawClient(w).open(1, b"resident")
     began = clock()
     try:
-        w.until(lambda: bool(poured) and victim.ended(), 8)
+        w.until(lambda: bool(flooding) and victim.ended(), 8)
         assert clock() - began < 0.7 * SECOND
         assert w.stood < 0.3
     finally:
@@ -678,39 +681,39 @@
     w = world("up")
     w.until(lambda: w.calls)
     w.loop.descriptor_limit = len(w.loop.watched) + 150
-    idle = [Raw(w) for _ in range(60)]
-    slow = [Raw(w) for _ in range(60)]
-    noisy = [Raw(w) for _ in range(10)]
-    for one in noisy:
-        one.sock.setblocking(False)
-        one.sock.send(b"k" * 65536)
-        one.sock.close()
-    typed = 0
-
-    def typing() -> bool:
-        nonlocal typed
-        typed += 1
-        for one in slow:
+    idle = [RawClient(w) for _ in range(60)]
+    slow = [RawClient(w) for _ in range(60)]
+    noisy = [RawClient(w) for _ in range(10)]
+    for client in noisy:
+        client.sock.setblocking(False)
+        client.sock.send(b"k" * 65536)
+        client.sock.close()
+    rounds = 0
+
+    def send_slowly() -> bool:
+        nonlocal rounds
+        rounds += 1
+        for client in slow:
             try:
-                one.sock.send(b"O" if w.wire == "lines" else b"C")
+                client.sock.send(b"O" if w.wire == "lines" else b"C")
             except OSError:
                 continue
-        return typed > 20
+        return rounds > 20
 
-    w.until(typing)
-    good = Raw(w).open()
+    w.until(send_slowly)
+    good = RawClient(w).open()
     began = clock()
-    w.until(lambda: typing() and good.has("up"))
+    w.until(lambda: send_slowly() and good.has("up"))
     assert clock() - began < SECOND
     most = 0
 
-    def gone() -> bool:
+    def have_ended() -> bool:
         nonlocal most
-        typing()
+        send_slowly()
         most = max(most, sum(isinstance(c, Connection) for c in w.loop.watched.values()))
         return all(c.ended() for c in [*idle, *slow])
 
-    w.until(gone, 6)  # by themselves, and with a word
+    w.until(have_ended, 6)  # without a trigger, and with an answer
     assert most <= w.loop.descriptor_limit
     assert not good.ended()
 
@@ -724,9 +727,9 @@
     port, path = free_port(), tmp_path / "config.json"
     other = socket.create_server(("127.0.0.1", 0), backlog=0)
     full = [socket.socket() for _ in range(4 if mode == "never up" else 0)]
-    for one in full:  # nobody takes them: further ones never come up
-        one.setblocking(False)
-        one.connect_ex(other.getsockname())
+    for sock in full:  # never accepted: further connections are not established
+        sock.setblocking(False)
+        sock.connect_ex(other.getsockname())
     address = "127.0.0.1:1" if mode == "refused" else f"127.0.0.1:{other.getsockname()[1]}"
     doc = {"listen": f"127.0.0.1:{port}", "discovery": address, "seed": "1",
            "settings": SETTINGS | {"registry_mode": registry}}  # fmt: skip
@@ -737,9 +740,9 @@
         answer = b""
         while not answer and time.monotonic() - began < 10:
             try:
-                with socket.create_connection(("127.0.0.1", port), timeout=5) as asker:
-                    asker.sendall(b"PING\r\n")
-                    answer = asker.recv(100)
+                with socket.create_connection(("127.0.0.1", port), timeout=5) as conn:
+                    conn.sendall(b"PING\r\n")
+                    answer = conn.recv(100)
             except ConnectionRefusedError:
                 time.sleep(0.02)
         assert answer == b"PONG\r\n"
@@ -747,5 +750,5 @@
     finally:
         child.kill()
         child.wait()
-        for one in [other, *full]:
-            one.close()
+        for sock in [other, *full]:
+            sock.close()
