--- a/arrowseam/driver.py
+++ b/arrowseam/driver.py
@@ -358,8 +358,8 @@
 
     def connection_count(self, endpoint: str) -> int:
         """Established connections at an endpoint."""
-        found = self.balancer.endpoints.by_id.get(self.endpoint_ids.get(endpoint, 0))
-        return len(found.established) if found is not None else 0
+        endpoint_state = self.balancer.endpoints.by_id.get(self.endpoint_ids.get(endpoint, 0))
+        return len(endpoint_state.established) if endpoint_state is not None else 0
 
     @property
     def cordoned(self) -> list[str]:
--- a/arrowseam/protocols/edge/messages.py
+++ b/arrowseam/protocols/edge/messages.py
@@ -87,10 +87,10 @@
 
 def parse_opening(line: bytes) -> Opening:
     """Parse a client's first line, without its line terminator; raises OpeningError."""
-    found = _OPENING.fullmatch(line)
-    if found is None:
+    match = _OPENING.fullmatch(line)
+    if match is None:
         raise OpeningError("expected OPEN ID KEY VALUES")
-    pairs = _parse_pairs(found[3])
+    pairs = _parse_pairs(match[3])
     values = {name.decode(): value.decode() for name, value in pairs}
     if len(values) != len(pairs):
         raise OpeningError("duplicate name")
@@ -99,7 +99,7 @@
             raise OpeningError(f"malformed value of {name}")
     if "c" not in values or "d" not in values:
         raise OpeningError("c and d are required")
-    return Opening(line[: found.start(3)], tuple(pairs), found[1].decode(), int(found[2], 16), values)
+    return Opening(line[: match.start(3)], tuple(pairs), match[1].decode(), int(match[2], 16), values)
 
 
 def _parse_pairs(text: bytes) -> list[tuple[bytes, bytes]]:
--- a/arrowseam/protocols/nats/messages.py
+++ b/arrowseam/protocols/nats/messages.py
@@ -96,12 +96,12 @@
 def parse_json_object(text: bytes) -> dict[str, Any]:
     """The JSON object of INFO or CONNECT; raises NatsProtocolError."""
     try:
-        found = json.loads(text)
+        value = json.loads(text)
     except ValueError:
-        found = None
-    if not isinstance(found, dict):
+        value = None
+    if not isinstance(value, dict):
         raise NatsProtocolError(PARSER_ERROR)
-    return found
+    return value
 
 
 def rejection_text(retry_after_ms: int) -> str:
--- a/tests/test_discovery_failures.py
+++ b/tests/test_discovery_failures.py
@@ -29,7 +29,7 @@
     yield from create_worlds("lines")
 
 
-LIST = '{"generation":%d,"reset":true,"instances":[%s]}'
+LIST_TEMPLATE = '{"generation":%d,"reset":true,"instances":[%s]}'
 
 
 class StandInDiscovery:
@@ -56,7 +56,7 @@
         self.sock.close()
 
     def list_text(self) -> bytes:
-        return (LIST % (self.version, ",".join(json.dumps(row) for row in self.rows))).encode()
+        return (LIST_TEMPLATE % (self.version, ",".join(json.dumps(row) for row in self.rows))).encode()
 
     def serve(self, sock: socket.socket) -> None:
         try:
@@ -261,14 +261,14 @@
 
 
 def list_response(version: int, rows: list[dict[str, Any]]) -> bytes:
-    text = (LIST % (version, ",".join(json.dumps(row) for row in rows))).encode()
+    text = (LIST_TEMPLATE % (version, ",".join(json.dumps(row) for row in rows))).encode()
     return OK + b"Content-Length: %d\r\n\r\n" % len(text) + text
 
 
-BEFORE = "{} closed the connection before its response"
-IN_BODY = "{} closed the connection in the body of its response"
+CLOSED_BEFORE = "{} closed the connection before its response"
+CLOSED_IN_BODY = "{} closed the connection in the body of its response"
 DISCONNECTS = {
-    "at once": (("after", b"", "fin"), BEFORE),
+    "at once": (("after", b"", "fin"), CLOSED_BEFORE),
     "at once, reset": (("after", b"", "rst"), "{} reset the connection before its response"),
     "before the request": (
         ("before", b"", "rst"),
@@ -277,11 +277,11 @@
     "status line": (("after", b"HTTP/1.1 20", "fin"), "{} closed the connection in the head of its response"),
     "head": (("after", HEAD[:-2], "fin"), "{} closed the connection in the head of its response"),
     "head, reset": (("after", HEAD[:-2], "rst"), "{} reset the connection in the head of its response"),
-    "after a 100": (("after", b"HTTP/1.1 100 Continue\r\n\r\n", "fin"), BEFORE),
-    "no body": (("after", HEAD, "fin"), IN_BODY),
-    "body": (("after", HEAD + b'{"gen', "fin"), IN_BODY),
+    "after a 100": (("after", b"HTTP/1.1 100 Continue\r\n\r\n", "fin"), CLOSED_BEFORE),
+    "no body": (("after", HEAD, "fin"), CLOSED_IN_BODY),
+    "body": (("after", HEAD + b'{"gen', "fin"), CLOSED_IN_BODY),
     "body, reset": (("after", HEAD + b'{"gen', "rst"), "{} reset the connection in the body of its response"),
-    "chunk": (("after", CHUNKED + b"9\r\n{", "fin"), IN_BODY),
+    "chunk": (("after", CHUNKED + b"9\r\n{", "fin"), CLOSED_IN_BODY),
     "chunk's length": (
         ("after", CHUNKED + b"9", "fin"),
         "{} closed the connection in the body of its response",
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -39,15 +39,15 @@
 
 
 def buffer(data: bytes, limit: int = 8192) -> Buffer:
-    found = Buffer(limit)
+    result = Buffer(limit)
     while data:
-        view = found.free_space()
+        view = result.free_space()
         size = min(len(view), len(data))
         view[:size] = data[:size]
         view.release()
-        found.end += size
+        result.end += size
         data = data[size:]
-    return found
+    return result
 
 
 def config(**changes: Any) -> Any:
@@ -152,19 +152,25 @@
 
 def test_the_fields_of_an_opening_reach_the_request():
     opening = edge_messages.parse_opening(b"OPEN 9b 7f c=resident,t=acme,d=1500,g=5c,r=1,again=1,h=2.5,at=s7")
-    found = edge_messages.create_request(opening, config(), 100)
-    assert (found.class_index, found.tenant_index, found.flow_key, found.group, found.expected_load) == (
+    request = edge_messages.create_request(opening, config(), 100)
+    assert (
+        request.class_index,
+        request.tenant_index,
+        request.flow_key,
+        request.group,
+        request.expected_load,
+    ) == (
         1,
         0,
         0x7F,
         0x5C,
         2.5,
     )
-    assert found.is_retry
-    assert found.is_reconnect
-    assert found.adopted_endpoint == "s7"
+    assert request.is_retry
+    assert request.is_reconnect
+    assert request.adopted_endpoint == "s7"
     # The client's deadline counts from before the request arrived.
-    assert found.deadline == 100 + 1500 * MS - DEADLINE_MARGIN
+    assert request.deadline == 100 + 1500 * MS - DEADLINE_MARGIN
 
 
 @pytest.mark.parametrize("end", [b"\n", b"\r\nOPEN 02 0a c=tech,t=acme,d=1800\r\n"])
@@ -180,10 +186,10 @@
 
 def test_no_client_waits_longer_than_its_class_allows():
     """Guards against a huge ``d``, with which a request would stay queued for as long as it says."""
-    found = edge_messages.create_request(
+    request = edge_messages.create_request(
         edge_messages.parse_opening(b"OPEN 9b 7f c=tech,d=999999999"), config(), 0
     )
-    assert found.deadline == 1800 * MS - DEADLINE_MARGIN
+    assert request.deadline == 1800 * MS - DEADLINE_MARGIN
 
 
 def test_a_connection_id_in_use_is_refused_without_harm_to_the_first_connection(world):
@@ -581,7 +587,7 @@
     path = folder / "config.json"
     doc = {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "1", "settings": SETTINGS}
     path.write_text(json.dumps(doc))
-    child = subprocess.Popen(
+    process = subprocess.Popen(
         [
             "/bin/sh",
             "-c",
@@ -590,32 +596,32 @@
         stderr=subprocess.PIPE,
         env=os.environ | {"TMPDIR": str(path.parent)},
     )
-    assert child.stderr is not None
-    assert b"listens" in child.stderr.readline()
+    assert process.stderr is not None
+    assert b"listens" in process.stderr.readline()
     try:
-        yield child, port
+        yield process, port
     finally:
-        child.kill()
-        child.wait()
-        child.stderr.close()
+        process.kill()
+        process.wait()
+        process.stderr.close()
 
 
 def test_the_program_serves_reloads_on_sighup_and_ends_on_sigterm(tmp_path: Path):
     """Each signal has its own effect: with one wake-up pipe per signal, the last pipe got all signals."""
-    with program(tmp_path) as (child, port):
+    with program(tmp_path) as (process, port):
         for text in ("reload: done", "reload: configuration: not JSON"):
-            child.send_signal(signal.SIGHUP)
-            assert child.stderr is not None
-            while text.encode() not in (line := child.stderr.readline()):
+            process.send_signal(signal.SIGHUP)
+            assert process.stderr is not None
+            while text.encode() not in (line := process.stderr.readline()):
                 assert line
             (tmp_path / "config.json").write_text("{")
         with socket.create_connection(("127.0.0.1", port), timeout=5) as conn:
             conn.sendall(b"PING\r\n")
             assert conn.recv(100) == b"PONG\r\n"
-            child.terminate()
-        assert child.wait(timeout=10) == 0
-        assert child.stderr is not None
-        assert b"drained" in child.stderr.read()
+            process.terminate()
+        assert process.wait(timeout=10) == 0
+        assert process.stderr is not None
+        assert b"drained" in process.stderr.read()
 
 
 @pytest.mark.parametrize("descriptors", [64, 20])
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -255,13 +255,13 @@
     """A second SIGTERM, and SIGHUP with a new address of discovery at the same moment."""
     w = world("up", "up")
     clients = w.up(6)
-    path, second = tmp_path / "config.json", tmp_path / "nats.json"
-    second.write_text(json.dumps(w.nats))
+    path, nats_path = tmp_path / "config.json", tmp_path / "nats.json"
+    nats_path.write_text(json.dumps(w.nats))
     path.write_text(json.dumps(w.doc | {"discovery": f"127.0.0.1:{free_port()}"}))
     w.handler.shutdown.begin()
     began = clock()
     w.handler.shutdown.begin()
-    w.proxy.reload(str(path), str(second))
+    w.proxy.reload(str(path), str(nats_path))
     w.run(0.1)
     w.handler.shutdown.begin()
     w.until(lambda: w.loop.stopped and not w.handler.active)
@@ -705,16 +705,18 @@
     began = clock()
     w.until(lambda: send_slowly() and good.has("up"))
     assert clock() - began < SECOND
-    most = 0
+    most_connections = 0
 
     def have_ended() -> bool:
-        nonlocal most
+        nonlocal most_connections
         send_slowly()
-        most = max(most, sum(isinstance(c, Connection) for c in w.loop.watched.values()))
+        most_connections = max(
+            most_connections, sum(isinstance(c, Connection) for c in w.loop.watched.values())
+        )
         return all(c.ended() for c in [*idle, *slow])
 
     w.until(have_ended, 6)  # without a trigger, and with an answer
-    assert most <= w.loop.descriptor_limit
+    assert most_connections <= w.loop.descriptor_limit
     assert not good.ended()
 
 
@@ -725,17 +727,17 @@
 @pytest.mark.parametrize("registry", ["subscribe", "automatic"])
 def test_a_proxy_is_ready_whatever_discovery_does(tmp_path: Path, mode: str, registry: str):
     port, path = free_port(), tmp_path / "config.json"
-    other = socket.create_server(("127.0.0.1", 0), backlog=0)
-    full = [socket.socket() for _ in range(4 if mode == "never up" else 0)]
-    for sock in full:  # never accepted: further connections are not established
+    listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+    queued = [socket.socket() for _ in range(4 if mode == "never up" else 0)]
+    for sock in queued:  # never accepted: further connections are not established
         sock.setblocking(False)
-        sock.connect_ex(other.getsockname())
-    address = "127.0.0.1:1" if mode == "refused" else f"127.0.0.1:{other.getsockname()[1]}"
+        sock.connect_ex(listener.getsockname())
+    address = "127.0.0.1:1" if mode == "refused" else f"127.0.0.1:{listener.getsockname()[1]}"
     doc = {"listen": f"127.0.0.1:{port}", "discovery": address, "seed": "1",
            "settings": SETTINGS | {"registry_mode": registry}}  # fmt: skip
     path.write_text(json.dumps(doc))
     began = time.monotonic()
-    child = subprocess.Popen([sys.executable, "-m", "arrowseam", "serve", "--config", str(path)])
+    process = subprocess.Popen([sys.executable, "-m", "arrowseam", "serve", "--config", str(path)])
     try:
         answer = b""
         while not answer and time.monotonic() - began < 10:
@@ -748,7 +750,7 @@
         assert answer == b"PONG\r\n"
         assert time.monotonic() - began < 10
     finally:
-        child.kill()
-        child.wait()
-        for sock in [other, *full]:
+        process.kill()
+        process.wait()
+        for sock in [listener, *queued]:
             sock.close()
