--- a/tests/test_fleet_counts.py
+++ b/tests/test_fleet_counts.py
@@ -1,4 +1,4 @@
-"""The counting of logs, on two small ones made by hand."""
+"""fleet_counts.py, on small logs written by hand."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     return module
 
 
-def test_an_established_attempt_counts_as_standing_in_logs_of_this_version(
+def test_an_established_attempt_counts_as_a_connection_in_logs_of_this_version(
     script: ModuleType, tmp_path: Path
 ) -> None:
     (tmp_path / "n0.log").write_text("1.050 call: a at s-1: established after 50 ms\n2.000 x")
@@ -50,7 +50,9 @@
     assert counts.seconds[1]["standing"] == 1
 
 
-def test_lines_of_this_version_are_counted_as_those_before(script: ModuleType, tmp_path: Path) -> None:
+def test_lines_of_this_version_count_like_those_of_earlier_versions(
+    script: ModuleType, tmp_path: Path
+) -> None:
     (tmp_path / "n0.log").write_text(
         "1.050 attempt: a at s-1: established after 50 ms, group f\n"
         "1.900 attempt: b at s-1: established after 10 ms\n"
@@ -68,7 +70,7 @@
     assert counts.servers["s-1"]["moved off"] == 1
 
 
-def test_what_each_wrote_is_counted_over_all(script: ModuleType, tmp_path: Path) -> None:
+def test_logs_are_counted_over_all_proxies(script: ModuleType, tmp_path: Path) -> None:
     for name, text in LOGS.items():
         (tmp_path / f"{name}.log").write_text(text)
     counts = script.count(tmp_path)
@@ -83,8 +85,8 @@
     assert (seconds[2]["moves"], seconds[3]["refused"], seconds[3]["list failed"]) == (1, 1, 1)
     assert seconds[3]["mute"] == 1
     assert seconds[4]["end reset"] == 1
-    assert counts.told == {3: [1.0, 1.4]}
+    assert counts.lists_received == {3: [1.0, 1.4]}
     assert counts.servers["s-1"] == {"up": 2, "full": 1, "moved off": 1}
-    assert counts.most("s-1") == 3
-    assert counts.most("s-2") == 1
+    assert counts.max_attempts("s-1") == 3
+    assert counts.max_attempts("s-2") == 1
     assert "s-1: full 1, moved off 1, up 2; 3" in script.report(counts)
