--- a/arrowseam/balancer/__init__.py
+++ b/arrowseam/balancer/__init__.py
@@ -1,6 +1,6 @@
-"""Every decision of a proxy, pure: no I/O, no clock, no random source of its own.
+"""The decision logic of a proxy, without I/O, a clock or a shared random source.
 
-``Balancer.handle(now, events) -> actions`` is the whole interface. Events are in ``events.py``, actions in
+The interface is ``Balancer.handle(now, events) -> actions``. Events are in ``events.py``, actions in
 ``actions.py``, settings in ``settings.py``.
 """
 
--- a/arrowseam/balancer/actions.py
+++ b/arrowseam/balancer/actions.py
@@ -1,4 +1,4 @@
-"""What a balancer wants done. An action takes effect at the time of the call that returned it."""
+"""Actions that a balancer returns. An action takes effect at the time of the call that returned it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 class Reject:
     """Final answer: the request never took effect, or a retry of it is harmless.
 
-    ``retry_after``: microseconds after which the client may come again; 0 = not said.
+    ``retry_after``: microseconds after which the client may retry; 0 = not stated.
     """
 
     request_id: int
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer that promises nothing: the request may have run."""
+    """Final answer without a guarantee: the request may have run."""
 
     request_id: int
 
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Call the discovery service and go on watching it."""
+    """Call the discovery service and keep watching it."""
 
     enabled: bool = True
 
--- a/arrowseam/balancer/admission.py
+++ b/arrowseam/balancer/admission.py
@@ -1,4 +1,4 @@
-"""Admission: the concurrency limit on attempts (AIMD) and the queue of requests that wait."""
+"""Admission: the concurrency limit on attempts (AIMD) and the queue of waiting requests."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from arrowseam.balancer.settings import Settings
 from arrowseam.balancer.units import NEVER, SECOND
 
-# Attempts that all proxies together may have under way before they know how long set-ups take, and at least,
-# however late these are. A proxy's part may be under one: then it waits between two attempts.
+# Concurrent attempts of all proxies together: at the start, before set-up times are known, and the minimum,
+# however late set-ups are. A proxy's part may be below one: it then waits between two attempts.
 INITIAL_LIMIT = 32.0
 MIN_LIMIT = 4.0
-MAX_INITIAL_LIMIT = 8.0  # of one proxy; also most attempts under way that pass beside a limit under one
-SMALL_LIMIT_GROWTH = 0.25  # part by which a limit under one grows for each prompt set-up
-SINGLE_ATTEMPT_GAP = SECOND // 10  # between two attempts where only one may be under way
-CONGESTED_TIME = 2 * SECOND  # a proxy counts as congested for so long after its limit was reduced
-MIN_CONNECTING = 4.0  # attempts under way when one fails, at least: with fewer it may be chance
-RECHECK_INTERVAL = SECOND // 20  # of queued requests; short beside any latency objective
+MAX_INITIAL_LIMIT = 8.0  # of one proxy; also the most concurrent attempts that may bypass a limit below one
+SMALL_LIMIT_GROWTH = 0.25  # fraction by which a limit below one grows for each prompt set-up
+SINGLE_ATTEMPT_GAP = SECOND // 10  # minimum between two attempts where the limit is below 2
+CONGESTED_TIME = 2 * SECOND  # a proxy counts as congested for this long after its limit was reduced
+MIN_CONNECTING = 4.0  # minimum of the concurrency that is halved: with fewer attempts a failure may be chance
+RECHECK_INTERVAL = SECOND // 20  # of queued requests; short compared with any latency objective
 
 
 class AttemptLimiter:
-    """Limits how many attempts are under way, whichever endpoints they go to: AIMD, as in TCP.
+    """Limits concurrent attempts over all endpoints by additive increase, multiplicative decrease (as TCP).
 
-    Guards against overwhelming what all endpoints share, such as a session store: it shows as set-ups that
-    fail or are late everywhere. Attempts are kept to what comes up in time; the rest wait in the queue,
-    where they cost no work.
+    Guards against overloading what all endpoints share, such as a session store: set-ups then fail or are
+    late at every endpoint. Attempts are limited to the number that succeeds in time; other requests wait in
+    the queue, where they cause no work.
 
     Attributes:
-        limit: attempts of this proxy that may be under way.
-        setup_time: what the last set-up took, microseconds.
+        limit: concurrent attempts that this proxy may have.
+        setup_time: duration of the last set-up, microseconds.
     """
 
     def __init__(self, settings: Settings, requests: RequestTable) -> None:
@@ -40,23 +40,23 @@
         self._reduced_at = self._attempted_at = NEVER
 
     def update_settings(self, settings: Settings) -> None:
-        """Take over settings; the limit stays."""
+        """Apply new settings; the limit stays."""
         self.proxy_count = settings.proxy_count
 
     def start(self, now: int, random: Callable[[], float]) -> None:
-        """Draw when the first attempt may be made: all proxies and their clients may start at once."""
+        """Randomize the time of the first attempt: all proxies and their clients may start at once."""
         if self.limit < 1.0:
             self._attempted_at = now - int(random() * self.setup_time / self.limit)
 
     def is_congested(self, now: int) -> bool:
-        """Return whether set-ups failed or were late a short time ago."""
+        """Return whether set-ups failed or were late within ``CONGESTED_TIME``."""
         return now - self._reduced_at < CONGESTED_TIME
 
     def allows(self, request: PendingRequest, now: int) -> bool:
         """Return whether another attempt may start now.
 
-        New requests pass while nothing is late; clients that return may all come at once. A limit under one
-        is for returning clients: where one endpoint failed a new request the next is tried at once.
+        New requests are admitted while no set-up is late; returning clients may all come at once. A limit
+        below one applies to returning clients: a new request that failed at one endpoint is retried at once.
         """
         connecting = len(self.connecting)
         bypasses_limit = request.is_new or (
@@ -72,11 +72,11 @@
         return connecting < self.limit and now - self._attempted_at >= gap
 
     def on_attempt(self, now: int) -> None:
-        """Note that an attempt was started."""
+        """Record that an attempt was started."""
         self._attempted_at = now
 
     def on_established(self, elapsed: int, objective: int, now: int) -> bool:
-        """Take a set-up that took ``elapsed``; return whether the limit was reduced."""
+        """Record a set-up that succeeded after ``elapsed``; return whether the limit was reduced."""
         self.setup_time = elapsed
         if elapsed > objective > 0:
             return self._reduce(objective, now)
@@ -85,12 +85,12 @@
         return False
 
     def on_failed(self, elapsed: int, objective: int, now: int) -> bool:
-        """Take a set-up that failed after ``elapsed``; return whether the limit was reduced."""
+        """Record a set-up that failed after ``elapsed``; return whether the limit was reduced."""
         self.setup_time = elapsed
         return self._reduce(objective, now)
 
     def _reduce(self, objective: int, now: int) -> bool:
-        """Halve the limit, once in the time that a set-up may take."""
+        """Halve the limit, at most once per latency objective."""
         if now - self._reduced_at < objective:
             return False
         self._reduced_at = now
@@ -100,11 +100,11 @@
 
 
 class RequestQueue:
-    """Requests for which nothing could be done yet, oldest first.
+    """Requests that could not be placed yet, oldest first.
 
     Attributes:
         requests: by id.
-        recheck_set: a timer to re-evaluate them is running.
+        recheck_set: the timer that re-evaluates them is running.
     """
 
     def __init__(self) -> None:
--- a/arrowseam/balancer/balancer.py
+++ b/arrowseam/balancer/balancer.py
@@ -1,8 +1,8 @@
-"""The balancer of one proxy: an event in, which rule acts in which order, actions out.
+"""The balancer of one proxy: applies the rules to each event and collects the resulting actions.
 
-A new connection takes the head of a weighted random order of the ready endpoints and falls back down that
-order when attempts fail. Everything else reduces an endpoint's chance by what is known of it, limits what it
-is sent, or makes the request wait. Each rule is a module of this package; ``docs/design.md`` lists them.
+A new connection goes to the first endpoint of a weighted random order of the ready endpoints, and to the next
+ones when attempts fail. All else reduces an endpoint's probability by what is known of it, limits what it is
+sent, or queues the request. Each rule is a module of this package; ``docs/design.md`` lists them.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 from arrowseam.balancer.load_shedding import LoadShedder
 from arrowseam.balancer.outliers import OutlierDetector
 from arrowseam.balancer.placement import RequestPlacer
-from arrowseam.balancer.rebalancing import INTERVAL, Rebalancer
+from arrowseam.balancer.rebalancing import REBALANCE_INTERVAL, Rebalancer
 from arrowseam.balancer.requests import PendingRequest, RequestTable
 from arrowseam.balancer.retries import is_within_deduplication
 from arrowseam.balancer.selection import Selector
@@ -58,37 +58,37 @@
 from arrowseam.balancer.units import SECOND
 from arrowseam.errors import UsageError
 
-LOG_INTERVAL = 10 * SECOND  # between two log messages: what happens to one proxy happens to many
-SLOW_DIVISOR = 3  # a message counts as slow from its latency objective divided by this on
-OVERLOADED_LATENCY_FRACTION = 0.6  # of the objective: from this latency on the endpoint counts as overloaded
-RETURNING_WEIGHT = 0.25  # an arrival of a returning client, to a proxy that has not seen many others
-STORM_FRACTION = 0.5  # with less of the endpoints healthy, arrivals are a storm
+LOG_INTERVAL = 10 * SECOND  # minimum between two log messages: what happens to one proxy happens to many
+SLOW_DIVISOR = 3  # a message is slow if its latency is at least its latency objective divided by this
+OVERLOADED_LATENCY_FRACTION = 0.6  # of the objective: with this latency the endpoint counts as overloaded
+RETURNING_WEIGHT = 0.25  # of the arrival of a returning client, while too few arrivals were observed
+STORM_FRACTION = 0.5  # with a smaller part of the endpoints healthy, arrivals count as a retry storm
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-UNCONGESTED_FAILURES = (Outcome.REJECTED, Outcome.CONNECT_FAILED)  # they say nothing about late set-ups
+UNCONGESTED_FAILURES = (Outcome.REJECTED, Outcome.CONNECT_FAILED)  # no evidence of congestion
 
 
-class _Configured(Protocol):
-    """A rule that settings are handed to."""
+class _Configurable(Protocol):
+    """A rule that is notified of new settings."""
 
     def update_settings(self, settings: Settings) -> None:
-        """Take over settings."""
+        """Apply new settings."""
 
 
 class Balancer:
     """The decisions of one proxy.
 
-    Each rule keeps its own state and draws from the one random source, so the same seed and the same events
+    Each rule keeps its own state, and all draw from one random source, so the same seed and the same events
     give the same actions.
 
     Attributes:
         now: time of the last call of ``handle``, microseconds.
-        actions: what that call has decided so far.
+        actions: actions of that call so far.
         random: the random source, uniform in [0, 1).
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         if not isinstance(settings, Settings):
-            raise UsageError("settings must be a Settings")
+            raise UsageError("settings must be a Settings object")
         draw = random.Random(seed).random
         self.random = draw
         self.settings = settings
@@ -135,7 +135,7 @@
             self._refresh_shares,
         )
         self._set_shortest_objective()
-        self._configured: tuple[_Configured, ...] = (
+        self._configurable_rules: tuple[_Configurable, ...] = (
             self.shares,
             self.outliers,
             self.limiter,
@@ -151,7 +151,7 @@
         self._handlers = self._event_handlers()
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
-        """Take what has happened by ``now`` (microseconds), in order; return what to do, in order.
+        """Process the events up to ``now`` (microseconds), in order; return the actions, in order.
 
         Raises:
             UsageError: time went back, or an event contradicts the ones before it.
@@ -167,23 +167,25 @@
             if handler is None:
                 raise UsageError(f"not an event: {event!r}")
             handler(event)
-        if now - self._rebalanced_at >= INTERVAL:
+        if now - self._rebalanced_at >= REBALANCE_INTERVAL:
             self._rebalanced_at = now
             self._rebalance()
-        if not self._migration_timer_set and self.rebalancer.any_leaving():
-            self._migration_timer_set = True  # quiet connections bring no event that would migrate them
-            self.actions.append(SetTimer(INTERVAL, MIGRATION_TIMER))
+        if not self._migration_timer_set and self.rebalancer.has_leaving():
+            self._migration_timer_set = (
+                True  # idle connections cause no events that would trigger their migration
+            )
+            self.actions.append(SetTimer(REBALANCE_INTERVAL, MIGRATION_TIMER))
         return self.actions
 
     def unavailable_count(self) -> int:
-        """Return how many listed endpoints get no or hardly any traffic: not ready, cordoned or ejected."""
+        """Return how many listed endpoints get little or no traffic: not ready, cordoned or ejected."""
         return self.outliers.unavailable_count(self.now)
 
     def may_start_attempt(self, now: int, request_id: int) -> bool:
-        """Return whether the attempt chosen for a request may still go out, now that it could.
+        """Return whether a request's attempt may still be sent once its connection is up.
 
-        Guards against what ends while it connects: its endpoint drains, or the time in which a retry of what
-        may have run is dropped.
+        Guards against changes during connection set-up: the endpoint started to drain, or the deduplication
+        window has passed for a request that may have run before.
         """
         request = self.requests.by_id.get(request_id)
         if request is None or request.endpoint is None or not self.endpoints.is_usable(request.endpoint):
@@ -212,7 +214,7 @@
             ConnectionAdopted: self._on_connection_adopted,
             ConnectionEstablished: self._on_connection_established,
             AttemptEnded: self._on_attempt_ended,
-            RequestAbandoned: self._on_client_disconnected,
+            RequestAbandoned: self._on_request_abandoned,
             LoadReported: self._on_load_reported,
             LatencyReported: self._on_latency_reported,
             HealthCheckEnded: self._on_health_check_ended,
@@ -224,10 +226,10 @@
     def _on_settings_updated(self, event: SettingsUpdated) -> None:
         settings = event.settings
         if len(event.previous_classes) != len(settings.classes):
-            raise UsageError("previous_classes must name an old class, or -1, for each new one")
+            raise UsageError("previous_classes must have one entry (an old class or -1) per new class")
         self.settings = settings
         self.requests.update_settings(settings, event.previous_classes)
-        for rule in self._configured:
+        for rule in self._configurable_rules:
             rule.update_settings(settings)
         self._set_shortest_objective()
         self.shares.outdated = True
@@ -239,7 +241,9 @@
     def _on_endpoint_update(self, event: EndpointUpdate) -> None:
         if event.kind is UpdateKind.FAILED:
             delay = self.poller.on_failed()
-            self._log(f"discovery: call failed; {len(self.shares.ready)} endpoints ready by the cached list")
+            self._log(
+                f"discovery call failed; using the cached list with {len(self.shares.ready)} ready endpoints"
+            )
             self.actions.append(SetTimer(delay, POLL_TIMER))
             return
         if event.kind in (UpdateKind.DELTA, UpdateKind.SNAPSHOT):
@@ -253,7 +257,7 @@
         self.shares.outdated = True
 
     def _refresh_shares(self) -> None:
-        """Rebuild outdated shares, or begin to, if the list is large and no rebuild is under way."""
+        """Rebuild outdated shares; for a large list begin a rebuild in chunks unless one is in progress."""
         shares, measure_initial = self.shares, not self.capacity.full_weight
         if shares.is_small():
             shares.rebuild(self.now, measure_initial)
@@ -278,9 +282,9 @@
             weight = RETURNING_WEIGHT if request.is_returning else 1.0
             in_storm = self.outliers.healthy_fraction(now) < STORM_FRACTION or self.limiter.is_congested(now)
             arrivals.count(now, weight, in_storm)
-            self.health_checks.earn_budget()
+            self.health_checks.add_budget()
         self.placer.place(request, now, self.actions)
-        if not request.is_returning:  # after its placement: the arrivals before it tell of a surge
+        if not request.is_returning:  # after its placement, which tests the earlier arrivals for a surge
             arrivals.add_recent()
         for endpoint in self.health_checks.due(now):
             self.actions.append(StartHealthCheck(endpoint.endpoint_id))
@@ -292,7 +296,7 @@
             self.requests.release(request)
             self.placer.answer(request, self.actions)
 
-    def _on_client_disconnected(self, event: RequestAbandoned) -> None:
+    def _on_request_abandoned(self, event: RequestAbandoned) -> None:
         request = self.requests.by_id.pop(event.request_id, None)
         self.queue.requests.pop(event.request_id, None)
         if request is not None:
@@ -315,12 +319,12 @@
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         request = self.requests.by_id.get(event.request_id)
         if request is None:
-            return  # the request was over for this proxy already
+            return  # the request had already ended at this proxy
         endpoint, outcome = self.endpoints.by_id.get(event.endpoint_id), event.outcome
         self.requests.release(request)
         request.error_count += outcome is Outcome.ERROR
         if endpoint is not None and self.outliers.on_attempt_ended(endpoint, request, event, self.now):
-            self._on_failed(request, event)
+            self._on_setup_failed(request, event)
         if event.is_final or request.established:
             del self.requests.by_id[event.request_id]
             return
@@ -328,8 +332,8 @@
             request.executed_on, request.executed_at = endpoint, self.now - event.elapsed
         self.placer.place(request, self.now, self.actions)
 
-    def _on_failed(self, request: PendingRequest, event: AttemptEnded) -> None:
-        """Let a failed set-up reduce the concurrency limit; one that was rejected at once says nothing."""
+    def _on_setup_failed(self, request: PendingRequest, event: AttemptEnded) -> None:
+        """Reduce the concurrency limit for a failed set-up, unless it was rejected or not connected."""
         if request.established or event.outcome in UNCONGESTED_FAILURES:
             return
         objective = request.request_class.latency_objective
@@ -340,7 +344,9 @@
         queued = len(self.queue.requests)
         if queued:
             limit = self.limiter.limit
-            self._log(f"congested: set-ups fail or are late; concurrency limit {limit:.2g}, {queued} queued")
+            self._log(
+                f"congested: set-ups fail or are late; concurrency limit {limit:.2g}, queue length {queued}"
+            )
 
     # --- established connections --------------------------------------------------------------------------
 
@@ -358,10 +364,10 @@
             self.requests.update_load(request, event.load)
 
     def _on_latency_reported(self, event: LatencyReported) -> None:
-        """Take the latency of a message: slow ones are failures of the endpoint, whatever its weight says.
+        """Process the latency of a message; a slow one counts as a failure, whatever the endpoint's weight.
 
         While other endpoints have capacity, part of the connections is migrated: on an overloaded endpoint
-        no message is in time, so all gain by a few that leave.
+        no message is in time, so that all benefit if a few leave.
         """
         endpoint = self.endpoints.by_id.get(event.endpoint_id)
         request = self.requests.by_id.get(event.request_id)
@@ -372,7 +378,7 @@
             return
         latency = event.latency_ms * 1000
         if latency < self._shortest_objective / SLOW_DIVISOR:
-            self.outliers.halve(endpoint, self.now)
+            self.outliers.halve_score(endpoint, self.now)
             return
         if latency >= objective / SLOW_DIVISOR:
             self.outliers.add_failure(endpoint, self.now)
@@ -384,10 +390,10 @@
         endpoint.overloaded_at = self.now
         shedder = self.shedder
         if not shedder.is_widespread(self.now):
-            self._migrate(self.rebalancer.pick(endpoint))
+            self._migrate(self.rebalancer.select_from(endpoint))
         elif shedder.may_reduce(self.now):
             shedder.reduce(self.now)
-            self._log(f"overloaded: messages slow at most endpoints; load limit {shedder.limit:.0f}")
+            self._log(f"overloaded: messages are slow at most endpoints; load limit {shedder.limit:.0f}")
             self._migrate(shedder.evict(self.now))
 
     def _on_health_check_ended(self, event: HealthCheckEnded) -> None:
@@ -401,18 +407,18 @@
             self._on_overloaded(endpoint)
 
     def _rebalance(self) -> None:
-        """Migrate off leaving endpoints and, where slow messages are not reported, off overcommitted ones."""
+        """Migrate off leaving and, where slow messages are not reported, off overcommitted endpoints."""
         self._migrate(self.rebalancer.off_leaving(self.now))
         if self.settings.reports_latency:
             return
         if self.shares.outdated:
             self._refresh_shares()
         self.capacity.update(self.now)
-        if not self.limiter.is_congested(self.now):  # a client that leaves then may not get in again
+        if not self.limiter.is_congested(self.now):  # migrated clients may then find no new connection
             self._migrate(self.rebalancer.off_overcommitted())
 
     def _migrate(self, request_ids: Iterable[int]) -> None:
-        self.actions += [Migrate(number) for number in request_ids]
+        self.actions += [Migrate(request_id) for request_id in request_ids]
 
     # --- timers -------------------------------------------------------------------------------------------
 
--- a/arrowseam/balancer/discovery.py
+++ b/arrowseam/balancer/discovery.py
@@ -1,4 +1,4 @@
-"""When the discovery service is called: at the start, and again after a failure, with backoff."""
+"""When the discovery service is called: at the start, and after failures with backoff."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from arrowseam.balancer.units import SECOND
 
 FIRST_BACKOFF = SECOND // 2  # doubled with each failure
-# What the service has counts as notified within 6 s; a call may take most of the rest.
+# An update counts as notified 6 s after the service has it, and a call may take most of that time.
 MAX_BACKOFF = 2 * SECOND
-MAX_FAILURES = 4  # counted; the backoff has reached its maximum by then
+MAX_FAILURES = 4  # counted; the backoff reaches its maximum before
 
 
 class DiscoveryPoller:
     """Calls the discovery service until it can be watched.
 
-    Guards against a service that is called by all proxies at once, when all have started or it has come
-    back: each wait is drawn, and doubles. It must not grow long either, since what the service has counts
-    as notified soon after it can be reached.
+    Guards against calls from all proxies at once, after all have started or the service has recovered: the
+    delay is random and doubles with each failure. It stays short, since updates count as notified soon after
+    the service can be reached.
 
     Attributes:
         subscribed: the endpoint list is being watched.
-        polling: a call is under way.
-        failures: calls that failed in a row, at most ``MAX_FAILURES``.
+        polling: a call is in progress.
+        failures: consecutive failed calls, at most ``MAX_FAILURES``.
     """
 
     def __init__(self, settings: Settings, random: Callable[[], float]) -> None:
@@ -33,33 +33,35 @@
         self.failures = 0
 
     def update_settings(self, settings: Settings) -> None:
-        """Take over settings."""
+        """Apply new settings."""
         self.settings = settings
 
     def first_delay(self) -> int:
-        """Return when to call after the start, microseconds."""
-        return self._drawn(self.settings.rules.max_poll_interval / 4)
+        """Return the delay of the first call after the start, microseconds."""
+        return self._randomized(self.settings.rules.max_poll_interval / 4)
 
     def on_failed(self) -> int:
-        """Note a call that failed or a watch that broke; return when to call again, microseconds."""
+        """Record a failed call or broken watch; return the delay of the next call, microseconds."""
         self.subscribed = self.polling = False
         self.failures = min(self.failures + 1, MAX_FAILURES)
         rules = self.settings.rules
         backoff = min(FIRST_BACKOFF << (self.failures - 1), MAX_BACKOFF, rules.max_poll_interval / 4)
-        # A list that is pushed may be missed for as long as an endpoint drains.
-        return self._drawn(backoff if self.settings.watch_discovery else min(backoff, rules.drain_grace / 4))
+        # Without a watch, an update must not be missed for longer than an endpoint drains.
+        return self._randomized(
+            backoff if self.settings.watch_discovery else min(backoff, rules.drain_grace / 4)
+        )
 
     def on_answered(self) -> None:
-        """Note a list, which is the answer if a call is under way."""
+        """Record the arrival of a list; it is the answer if a call is in progress."""
         if self.polling:
             self.subscribed, self.polling, self.failures = True, False, 0
 
     def start_poll(self) -> bool:
-        """Return whether a call is to be made now; it counts as under way from then on."""
+        """Return whether to call now; if so, the call counts as in progress."""
         if self.subscribed or self.polling:
             return False
         self.polling = True
         return True
 
-    def _drawn(self, delay: float) -> int:
+    def _randomized(self, delay: float) -> int:
         return int(delay * self.random())
--- a/arrowseam/balancer/endpoints.py
+++ b/arrowseam/balancer/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this proxy knows it: state of each endpoint, list updates, cordons."""
+"""The endpoint list as known to this proxy: state of each endpoint, list updates, cordons."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class EndpointRecord:
-    """What this proxy knows of one endpoint; every rule keeps its state of the endpoint here.
+    """What this proxy knows of one endpoint; every rule keeps its per-endpoint state here.
 
     Attributes:
         entry: its entry in the endpoint list; ``zone``, ``cell``, ``state`` and ``weight`` are taken from it.
         weight: list weight, scaled.
-        share: of all ready endpoints, UQ1.31.
+        share: its share of new connections among all ready endpoints, UQ1.31.
         load: of the connections and attempts of this proxy, in units of ``RequestArrived.expected_load``.
         in_flight: connections and attempts of this proxy.
         established: ids of the requests with an established connection, oldest first.
-        warming_since: its start, or the later time at which it was uncordoned; 0 = long ago.
+        warming_since: when it started or was uncordoned, whichever is later; 0 = long ago.
         uncordoned_at: when it was uncordoned; 0 = never.
-        awaits_first_attempt: it was uncordoned and is owed a first attempt; a lost draw ends that too.
-        draining_since: when this proxy first saw it drain while it had connections there; 0 = not seen.
-        failure_score: failures not decayed yet, as of ``failure_score_at``.
-        tokens: connections that slow start has saved up, as of ``tokens_at``; below 0 = never asked.
-        rounding_draw: where this proxy rounds its part of the endpoint's capacity; below 0 = not drawn.
-        overloaded_at: last time that a message was too slow there or a report said that it is full.
-        reported_utilization: load over capacity, by its last report, received at ``reported_at``.
+        awaits_first_attempt: it was uncordoned and has had no attempt since; also ends with a lost draw.
+        draining_since: when this proxy, with connections there, first saw it draining; 0 = it did not.
+        failure_score: decayed count of failures, as of ``failure_score_at``.
+        tokens: slow-start tokens (connections), as of ``tokens_at``; below 0 = never used.
+        rounding_draw: offset by which this proxy rounds its connections there; below 0 = not drawn.
+        overloaded_at: when a message was last too slow there or a report last showed it to be full.
+        reported_utilization: load over capacity in its last report, received at ``reported_at``.
         in_flight_at_report: ``in_flight`` at that time.
         health_checked_at: when its last health check was started.
     """
@@ -70,24 +70,24 @@
         self.awaits_first_attempt = False
         self.draining_since = 0
         self.uncordoned_at = uncordoned_at
-        self.follow(entry)
+        self.set_entry(entry)
         self.reset(now)
 
-    def follow(self, entry: Endpoint) -> None:
-        """Take over a new entry of the endpoint list."""
+    def set_entry(self, entry: Endpoint) -> None:
+        """Apply a new entry of the endpoint list."""
         self.entry = entry
         self.zone, self.cell, self.state = entry.zone, entry.cell, entry.state
         self.weight = scaled_weight(entry.weight)
         self.warming_since = max(entry.started_at, self.uncordoned_at)
 
     def reset(self, now: int) -> None:
-        """Drop what was learned of the process before: a new incarnation answers for none of it."""
+        """Clear what was learned of the previous process: none of it applies to a new incarnation."""
         self.failure_score, self.failure_score_at = 0.0, now
         self.tokens, self.tokens_at = -1.0, now
         self.rounding_draw = -1.0
 
     def uncordon(self, at: int, awaits_first_attempt: bool) -> None:
-        """Treat it as started ``at``: it may have been restarted without a word in the endpoint list."""
+        """Treat it as started ``at``: it may have been restarted without an update of the endpoint list."""
         self.uncordoned_at, self.awaits_first_attempt = at, awaits_first_attempt
         self.warming_since = max(self.entry.started_at, at)
 
@@ -97,8 +97,8 @@
 
     Attributes:
         by_id: the endpoints; removed ones stay, in state REMOVED.
-        cordoned: ids; no update of the list and no restart of an endpoint clears a cordon.
-        uncordoned: ids of endpoints that were uncordoned and have not warmed up since, and when.
+        cordoned: ids; neither an update of the list nor a restart of an endpoint clears a cordon.
+        uncordoned: time of uncordoning by id, for endpoints that have not warmed up since.
         unsorted: endpoints were added since ``sort``.
     """
 
@@ -113,19 +113,19 @@
         return endpoint.state is EndpointState.READY and endpoint.endpoint_id not in self.cordoned
 
     def is_leaving(self, endpoint: EndpointRecord) -> bool:
-        """Return whether its connections must go elsewhere: it is draining or cordoned."""
+        """Return whether its connections must be migrated: it is draining or cordoned."""
         return endpoint.state is EndpointState.DRAINING or endpoint.endpoint_id in self.cordoned
 
     def sort(self) -> None:
-        """Put the endpoints in order of id, so that draws do not depend on the order of arrival."""
-        self.by_id = {number: self.by_id[number] for number in sorted(self.by_id)}
+        """Sort the endpoints by id, so that draws do not depend on the order in which they were listed."""
+        self.by_id = {endpoint_id: self.by_id[endpoint_id] for endpoint_id in sorted(self.by_id)}
         self.unsorted = False
 
     def apply(self, update: EndpointUpdate, now: int) -> bool:
-        """Take over an update that did not fail; return whether the shares must be rebuilt now.
+        """Apply an update that did not fail; return whether the shares must be rebuilt now.
 
-        Weights of two versions of a list are not mixed, so the shares wait for the rest of an update. An
-        endpoint that stops being ready does not wait.
+        Weights of two versions of a list are not mixed: the shares are rebuilt when an update is complete,
+        but at once when an endpoint stops being ready.
         """
         if update.kind in (UpdateKind.SNAPSHOT, UpdateKind.CACHED_SNAPSHOT):
             listed = {entry.endpoint_id for entry in update.endpoints}
@@ -134,39 +134,39 @@
                     endpoint.state = EndpointState.REMOVED
         for entry in update.endpoints:
             self._apply_entry(entry, now)
-        any_leaves = any(entry.state is not EndpointState.READY for entry in update.endpoints)
-        return any_leaves or not update.more_follows
+        any_not_ready = any(entry.state is not EndpointState.READY for entry in update.endpoints)
+        return any_not_ready or not update.more_follows
 
     def _apply_entry(self, entry: Endpoint, now: int) -> None:
-        known = self.by_id.get(entry.endpoint_id)
-        if known is None:
+        endpoint = self.by_id.get(entry.endpoint_id)
+        if endpoint is None:
             uncordoned_at = self.uncordoned.get(entry.endpoint_id, 0)
             self.by_id[entry.endpoint_id] = EndpointRecord(entry, uncordoned_at, now)
             self.unsorted = True
             return
-        if entry is known.entry and known.state is entry.state:
+        if entry is endpoint.entry and endpoint.state is entry.state:
             return
-        if entry.started_at != known.entry.started_at and entry.state is EndpointState.READY:
-            known.reset(now)
-        known.follow(entry)
+        if entry.started_at != endpoint.entry.started_at and entry.state is EndpointState.READY:
+            endpoint.reset(now)
+        endpoint.set_entry(entry)
 
-    def set_cordon(self, change: CordonChanged, now: int) -> bool:
-        """Cordon or uncordon an endpoint; return whether it was uncordoned by this.
+    def set_cordon(self, event: CordonChanged, now: int) -> bool:
+        """Cordon or uncordon an endpoint; return whether this call uncordoned it.
 
-        An uncordoned endpoint counts as just started and as free of failures: it may have been restarted
-        meanwhile, and the list may not say so yet.
+        An uncordoned endpoint counts as just started and without failures: it may have been restarted
+        meanwhile, and the list may not show that yet.
         """
-        number = change.endpoint_id
-        if change.cordoned:
-            self.cordoned.add(number)
-            self.uncordoned.pop(number, None)
+        endpoint_id = event.endpoint_id
+        if event.cordoned:
+            self.cordoned.add(endpoint_id)
+            self.uncordoned.pop(endpoint_id, None)
             return False
-        if number not in self.cordoned and not change.uncordoned_at:
+        if endpoint_id not in self.cordoned and not event.uncordoned_at:
             return False
-        self.cordoned.discard(number)
-        self.uncordoned[number] = at = change.uncordoned_at or now
-        endpoint = self.by_id.get(number)
+        self.cordoned.discard(endpoint_id)
+        self.uncordoned[endpoint_id] = at = event.uncordoned_at or now
+        endpoint = self.by_id.get(endpoint_id)
         if endpoint is not None:
             endpoint.reset(now)
-            endpoint.uncordon(at, awaits_first_attempt=not change.uncordoned_at)
+            endpoint.uncordon(at, awaits_first_attempt=not event.uncordoned_at)
         return True
--- a/arrowseam/balancer/events.py
+++ b/arrowseam/balancer/events.py
@@ -1,6 +1,6 @@
-"""What a balancer is notified of.
+"""Events that a balancer is notified of.
 
-All times and durations are whole microseconds, but for ``latency_ms``; times are on the proxy's monotonic
+All times and durations are whole microseconds, except ``latency_ms``; times are on the proxy's monotonic
 clock. Endpoints and requests are opaque integers.
 """
 
@@ -22,13 +22,13 @@
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
-    MIGRATED = 6  # the endpoint sent the client away, or the proxy did
+    MIGRATED = 6  # the endpoint or the proxy ended the connection gracefully
     NOT_SENT = 7
-    UNKNOWN = 8  # an outcome that this version does not know: it may have run
+    UNKNOWN = 8  # an outcome unknown to this version: the attempt may have run
 
 
 class EndpointState(IntEnum):
-    """What the endpoint list says of an endpoint."""
+    """State of an endpoint in the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -40,9 +40,9 @@
 
     DELTA = 0  # only the endpoints that changed
     SNAPSHOT = 1  # the complete list
-    CACHED_SNAPSHOT = 2  # the complete list as last held, possibly stale
+    CACHED_SNAPSHOT = 2  # the complete list from a cache, possibly stale
     FAILED = 3  # a call failed or the watch broke; no endpoints
-    SECONDARY_DELTA = 4  # changes from another source: says nothing about the discovery service
+    SECONDARY_DELTA = 4  # changes from another source; no evidence that the discovery service answers
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,9 +60,9 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """An endpoint list or a change of it, or a failed call for one.
+    """An endpoint list, a change of it, or a failed call for one.
 
-    ``more_follows``: the rest of the same change comes with the next update, and weights are recomputed then.
+    ``more_follows``: the next update continues the same change; the shares are rebuilt after the last one.
     """
 
     kind: UpdateKind
@@ -79,11 +79,11 @@
         class_index: position of its class in the settings; -1 if ``request_class`` is given.
         tenant_index: position of its tenant in the settings.
         flow_key: the key of the client's flow.
-        expected_load: usual load of the connection, microseconds of work a second; 0 = unknown.
+        expected_load: expected load of the connection, microseconds of work a second; 0 = unknown.
         group: the affinity group; 0 = none.
         is_retry: the client marked it as a retry of its own.
         is_reconnect: the client's connection broke or was migrated.
-        request_class: its class, where that has been dropped from the settings since.
+        request_class: its class, if that is no longer in the settings.
     """
 
     request_id: int
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True)
 class ConnectionAdopted:
-    """A connection that already ran through this proxy when it started (it counts as one attempt made)."""
+    """A connection that existed before this balancer started; it counts as one attempt made."""
 
     request: RequestArrived
     endpoint_id: int
@@ -120,8 +120,8 @@
 class AttemptEnded:
     """An attempt failed, or an established connection ended.
 
-    ``is_final``: the request is over, by this outcome or earlier. ``report`` is the load report that came
-    with it, in the order of ``Settings.report_fields``.
+    ``is_final``: the request is over, by this outcome or an earlier one. ``report``: the load report that
+    came with it, in the order of ``Settings.report_fields``.
     """
 
     request_id: int
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """The proxy is done with the request: its client left, its deadline passed, or its task failed."""
+    """The request is over: its client disconnected, its deadline passed, or its task failed."""
 
     request_id: int
 
@@ -152,7 +152,7 @@
 
 @dataclass(slots=True)
 class LatencyReported:
-    """A message at this endpoint takes ``latency_ms`` milliseconds now."""
+    """Messages at this endpoint currently take ``latency_ms`` milliseconds."""
 
     request_id: int
     attempt_number: int
@@ -172,9 +172,9 @@
 
 @dataclass(slots=True)
 class CordonChanged:
-    """The operators take an endpoint out of service, or put it back; whatever the list says meanwhile.
+    """The operators took an endpoint out of service or put it back, independent of the endpoint list.
 
-    ``uncordoned_at``: it was put back then; 0 = now.
+    ``uncordoned_at``: when it was put back; 0 = now.
     """
 
     endpoint_id: int
@@ -184,14 +184,14 @@
 
 @dataclass(slots=True)
 class RequestAborted:
-    """The proxy shuts down: a request that is not established gets its final answer now."""
+    """The proxy shuts down: a request without an established connection gets its final answer now."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class SettingsUpdated:
-    """New settings. ``previous_classes``: for each new class the old one that it is; -1 = none."""
+    """New settings. ``previous_classes``: for each new class its position in the old settings; -1 = none."""
 
     settings: Settings
     previous_classes: tuple[int, ...]
@@ -199,7 +199,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that a ``SetTimer`` action asked for has fired."""
+    """A timer set by a ``SetTimer`` action has fired."""
 
     token: int
 
--- a/arrowseam/balancer/placement.py
+++ b/arrowseam/balancer/placement.py
@@ -1,4 +1,4 @@
-"""What happens to a request that has no connection: its next attempt, the queue, or its final answer."""
+"""Placement of a request without a connection: its next attempt, the queue, or its final answer."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from arrowseam.balancer.shares import EndpointShares
 from arrowseam.balancer.timers import QUEUE_TIMER
 
-MARGIN_RESOLUTIONS = 2  # of the timer, before a deadline: a timer may fire one late, an answer must not
+MARGIN_RESOLUTIONS = 2  # before a deadline: a timer may fire one resolution late, an answer must not be late
 
 
 class RequestPlacer:
-    """Places requests, new ones and those whose attempt failed, and re-evaluates queued ones."""
+    """Places new requests and those whose attempt failed, and re-evaluates queued ones."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self.refresh_shares = refresh_shares
 
     def update_settings(self, settings: Settings) -> None:
-        """Take over settings."""
+        """Apply new settings."""
         self.settings = settings
 
     def place(self, request: PendingRequest, now: int, actions: list[Action]) -> None:
@@ -58,7 +58,7 @@
             return
         endpoint = self._choose_endpoint(request, now)
         if endpoint is None:
-            self._wait_or_answer(request, time_left, now, actions)
+            self._queue_or_answer(request, time_left, now, actions)
             return
         timeout = attempt_timeout(request, limits, time_left, self.limiter.is_congested(now))
         request.attempts += 1
@@ -70,15 +70,15 @@
         actions.append(StartAttempt(request.request_id, endpoint.endpoint_id, timeout))
 
     def answer(self, request: PendingRequest, actions: list[Action]) -> None:
-        """Give the final answer; the request is over."""
+        """Give the final answer and remove the request."""
         del self.requests.by_id[request.request_id]
         actions.append(final_answer(request, self.settings.limits, self.random))
 
     def recheck_queue(self, now: int, actions: list[Action]) -> None:
-        """Place queued requests, newest first, until one cannot be: the rest would fare no better.
+        """Place queued requests, newest first, until one cannot be placed: older ones could not be either.
 
-        Guards against a backlog that only ever sends what is about to run out of time, so that every set-up
-        times out and looks like overload.
+        Guards against a backlog from which only requests close to their deadline are sent, so that every
+        set-up times out and looks like overload.
         """
         queued = self.queue.requests
         for request in reversed(list(queued.values())):
@@ -97,12 +97,12 @@
             return None
         return self.selector.draw_endpoint(request, now)
 
-    def _wait_or_answer(
+    def _queue_or_answer(
         self, request: PendingRequest, time_left: int, now: int, actions: list[Action]
     ) -> None:
-        """Queue a request that no endpoint was chosen for, unless there is nothing to wait for.
+        """Queue a request that no endpoint was chosen for, or answer it if waiting cannot help.
 
-        It is answered when it leaves the queue by its own timer, if it cannot be placed then.
+        When its timer removes it from the queue, it is answered if it still cannot be placed.
         """
         timer_margin = MARGIN_RESOLUTIONS * self.settings.timer_resolution
         margin = max(timer_margin, MIN_TIME_FRACTION * request.request_class.latency_objective)
--- a/arrowseam/balancer/requests.py
+++ b/arrowseam/balancer/requests.py
@@ -1,4 +1,4 @@
-"""Requests from arrival until their connection ends, and the load that they bring to endpoints."""
+"""Requests from arrival until their connection ends, and their load at the endpoints."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from arrowseam.balancer.settings import RequestClass, Settings
 from arrowseam.errors import UsageError
 
-LOAD_GAIN = 0.05  # part of a class's estimate that one reported load replaces
-LOAD_MAX = 1e9  # microseconds of work a second, of one connection: more than any machine does
+LOAD_GAIN = 0.05  # of the average of a class's reported loads
+MAX_LOAD = 1e9  # of one connection, microseconds of work a second: more than any machine can do
 
 
 class ClassLoadEstimate:
-    """The mean load seen of a class; it outlives the class while connections of it are established."""
+    """The mean reported load of a class; it outlives the class while it has established connections."""
 
     __slots__ = ("load",)
 
@@ -20,7 +20,7 @@
         self.load = 0.0
 
     def add(self, load: float) -> None:
-        """Take a reported load into the mean (exponentially weighted)."""
+        """Add a reported load to the exponentially weighted mean."""
         mean = self.load
         self.load = load if mean == 0.0 else mean + LOAD_GAIN * (load - mean)
 
@@ -29,20 +29,20 @@
     """A request from its arrival until its last attempt or its connection has ended.
 
     Attributes:
-        request_class: its class as it was on arrival; settings that change later do not bind it.
-        max_attempts: the limit on arrival; a lower one that came later binds as well.
-        deadline: when its final answer is owed.
+        request_class: its class as of its arrival; later settings do not change it.
+        max_attempts: the limit as of its arrival; a lower limit set later applies as well.
+        deadline: when its final answer is due.
         tried: endpoints of its attempts, in order.
         endpoint: where its attempt or connection is.
         established: it has a connection.
         established_at: since when.
         error_count: endpoints that answered with an error.
-        is_returning: the client's connection broke or was migrated, or it marked this as a retry of its own.
-        is_new: it is not returning, and selection has not tried to place it yet.
+        is_returning: the client's connection broke or was migrated, or the client marked this as a retry.
+        is_new: it is not returning, and no endpoint has been drawn for it yet.
         executed_on: endpoint of the first attempt that may have run.
         executed_at: when that attempt was started.
-        load: reported load, else the mean of its class, else 1: were it 0, rules that go by load would do
-            nothing where no load is reported.
+        load: reported load, else the mean of its class, else 1: with 0, rules that use the load would have
+            no effect where no load is reported.
     """
 
     __slots__ = (
@@ -72,19 +72,19 @@
         self.is_returning = arrival.is_reconnect or arrival.is_retry
         self.executed_on: EndpointRecord | None = None
         self.executed_at = 0
-        expected_load = min(arrival.expected_load, LOAD_MAX)
+        expected_load = min(arrival.expected_load, MAX_LOAD)
         self.load = expected_load if expected_load > 0 else class_load.load or 1.0
         self.is_new = not self.is_returning
 
 
 class RequestTable:
-    """All requests of this proxy and what they hold at endpoints.
+    """All requests of this proxy and the load that they reserve at endpoints.
 
     Attributes:
         by_id: requests, pending and established.
-        connecting: ids of requests with an attempt under way.
+        connecting: ids of requests with an attempt in progress.
         load: of all attempts and connections; ``connection_count`` is their number.
-        serving: endpoints with established connections, by id; rules that run often look at these only.
+        serving: endpoints with established connections, by id; rules that run often use only these.
         class_loads: load estimates, in the order of the classes.
     """
 
@@ -98,13 +98,15 @@
         self.class_loads = [ClassLoadEstimate() for _ in settings.classes]
 
     def update_settings(self, settings: Settings, previous_classes: tuple[int, ...]) -> None:
-        """Take over settings, with the load estimates of the classes that they keep."""
-        old = self.class_loads
-        self.class_loads = [old[n] if n >= 0 else ClassLoadEstimate() for n in previous_classes]
+        """Apply new settings, keeping the load estimates of classes that remain."""
+        previous_loads = self.class_loads
+        self.class_loads = [
+            previous_loads[index] if index >= 0 else ClassLoadEstimate() for index in previous_classes
+        ]
         self.settings = settings
 
     def add(self, arrival: RequestArrived, now: int) -> PendingRequest:
-        """Enter a request.
+        """Add a request.
 
         Raises:
             UsageError: its class is not in the settings.
@@ -114,7 +116,7 @@
         if request_class is None:
             index = arrival.class_index
             if not 0 <= index < len(settings.classes):
-                raise UsageError(f"request {arrival.request_id} is of class {index}, which is not set up")
+                raise UsageError(f"request {arrival.request_id} is of class {index}, which is not configured")
             request_class, class_load = settings.classes[index], self.class_loads[index]
         request = PendingRequest(arrival, now, request_class, class_load, settings.limits.max_attempts)
         self.by_id[request.request_id] = request
@@ -134,15 +136,15 @@
         self.serving[endpoint.endpoint_id] = endpoint
 
     def unlist_established(self, request_id: int, endpoint: EndpointRecord) -> None:
-        """Drop a connection from that list: it ended or is being migrated."""
+        """Remove a connection from that list: it ended or is being migrated."""
         endpoint.established.pop(request_id, None)
         if not endpoint.established:
             self.serving.pop(endpoint.endpoint_id, None)
 
     def release(self, request: PendingRequest) -> None:
-        """Give back what the request holds at its endpoint.
+        """Release the load that the request reserved at its endpoint.
 
-        With the last one the load is 0, and not the rest that rounding leaves of many sums.
+        Without connections the load is set to 0, since rounding errors of many sums would remain.
         """
         self.connecting.discard(request.request_id)
         endpoint = request.endpoint
@@ -155,8 +157,8 @@
             self.load = self.load - request.load if self.connection_count else 0.0
 
     def update_load(self, request: PendingRequest, load: float) -> None:
-        """Take over a reported load of a connection, ``LOAD_MAX`` at most."""
-        load = min(load, LOAD_MAX)
+        """Apply a reported load of a connection, limited to ``MAX_LOAD``."""
+        load = min(load, MAX_LOAD)
         request.class_load.add(load)
         if request.endpoint is not None:
             request.endpoint.load += load - request.load
@@ -164,12 +166,12 @@
         request.load = load
 
     def groups_at(self, endpoint: EndpointRecord) -> int:
-        """Return how many affinity groups have connections of this proxy there."""
+        """Return how many affinity groups have connections of this proxy at the endpoint."""
         if not self.settings.group_affinity:
             return 0
-        return len({self.by_id[number].group for number in endpoint.established} - {0})
+        return len({self.by_id[request_id].group for request_id in endpoint.established} - {0})
 
     def load_per_weight(self, request_id: int) -> float:
-        """Return the load of a connection for each unit of its priority weight."""
+        """Return the load of a connection per unit of its priority weight."""
         request = self.by_id[request_id]
         return request.load / max(1e-9, request.request_class.priority_weight)
--- a/arrowseam/balancer/retries.py
+++ b/arrowseam/balancer/retries.py
@@ -1,4 +1,4 @@
-"""May another attempt follow, where may it go, how long may it take, and what is the final answer."""
+"""Retries: whether and where a request may be attempted again, attempt timeouts, and the final answer."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from arrowseam.balancer.settings import DeduplicationScope, Idempotency, Limits
 from arrowseam.balancer.units import SECOND
 
-# With less than this part of the latency objective left an attempt would fail, cost the endpoint its work all
-# the same, and its timeout would look like overload.
+# With less than this part of the latency objective left, an attempt would fail but still cost the endpoint
+# work, and its timeout would look like overload.
 MIN_TIME_FRACTION = 0.25
 MAX_ERRORS = 2  # endpoints that answer one request with an error: then the request is at fault
-RETRY_AFTER_BASE = SECOND  # a rejected client is asked to wait a tenth to a half of this
+RETRY_AFTER_BASE = SECOND  # a rejected client is asked to wait 0.1 to 0.5 of this
 
 
 def may_attempt(request: PendingRequest, limits: Limits, time_left: int) -> bool:
-    """Return whether another attempt may follow at all, with this much time until the deadline.
+    """Return whether another attempt is allowed, with this much time until the deadline.
 
     A new request may be attempted with little time left; a further attempt needs ``MIN_TIME_FRACTION``.
     """
@@ -34,8 +34,8 @@
 ) -> list[EndpointRecord] | None:
     """Return where the next attempt may go; None = anywhere.
 
-    Guards against a request that takes effect twice: once an attempt may have run, another one goes only
-    where a retry is harmless, and only as long as the key is remembered there.
+    Guards against a request that takes effect twice: once an attempt may have run, the next one goes only to
+    endpoints where a retry is harmless, and only while they remember its key.
     """
     first, request_class = request.executed_on, request.request_class
     if first is None or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -52,16 +52,16 @@
 
 
 def is_within_deduplication(request: PendingRequest, now: int) -> bool:
-    """Return whether an attempt that starts now is harmless, if an earlier one may have run."""
+    """Return whether an attempt that starts now is harmless even if an earlier one has run."""
     if request.executed_on is None or request.request_class.idempotency is not Idempotency.KEYED:
         return True
     return now - request.executed_at < request.request_class.deduplication_window
 
 
 def attempt_timeout(request: PendingRequest, limits: Limits, time_left: int, congested: bool) -> int:
-    """Return a timeout that leaves later attempts their time, microseconds.
+    """Return a timeout that leaves time for later attempts, microseconds.
 
-    The last attempt may have all that is left, and so may each one while set-ups are late everywhere.
+    The last attempt gets all the time left, and so does every attempt while the proxy is congested.
     """
     attempts_left = min(request.max_attempts, limits.max_attempts) - request.attempts
     if attempts_left <= 1 or congested:
@@ -71,10 +71,10 @@
 
 
 def final_answer(request: PendingRequest, limits: Limits, random: Callable[[], float]) -> Reject | Fail:
-    """Return a rejection if the request surely had no effect or a retry is harmless, else a failure.
+    """Return a rejection if the request certainly had no effect or a retry is harmless, else a failure.
 
-    A retry of a keyed request counts as harmless if all endpoints know its key; that the client comes again
-    within the deduplication window is taken for granted.
+    A retry of a keyed request counts as harmless if all endpoints know its key, assuming that the client
+    retries within the deduplication window.
     """
     request_class = request.request_class
     harmless = request_class.idempotency is Idempotency.IDEMPOTENT or (
@@ -87,7 +87,7 @@
 
 
 def retry_after(limits: Limits, random: Callable[[], float]) -> int:
-    """Return when a rejected client may come again, microseconds, drawn so that not all come at once."""
+    """Return a random delay after which a rejected client may retry, microseconds."""
     if not limits.retry_after_allowed:
         return 0
     return int(min(limits.max_retry_after, RETRY_AFTER_BASE) * (0.1 + 0.4 * random()))
--- a/arrowseam/balancer/selection.py
+++ b/arrowseam/balancer/selection.py
@@ -1,7 +1,7 @@
 """Selection: the endpoint of the next attempt, from a weighted random order of the ready endpoints.
 
-Keys u^(1/share), descending, give a weighted random order. Drawing one by one without replacement is the same
-in distribution as sorting all keys (Efraimidis and Spirakis, 2006), and usually only the head is needed.
+Sorting by keys u^(1/share), descending, gives a weighted random order. Drawing one by one without replacement
+has the same distribution (Efraimidis and Spirakis, 2006), and usually only the first few are needed.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from arrowseam.balancer.slow_start import SlowStart
 from arrowseam.balancer.units import SECOND
 
-HEAD_DRAWS = 12  # draws by rejection before the exact draw over all endpoints takes over
-# A request asks this many limited endpoints before it is queued: asking all would, with many endpoints, find
-# some chance of admission everywhere and undo slow start.
+REJECTION_DRAWS = 12  # draws by rejection before the exact draw over all remaining endpoints
+# Endpoints that may deny a request before it is queued: with many endpoints, asking all of them would nearly
+# always find one that admits it by chance, which would defeat slow start.
 MAX_DENIALS = 2
-# Utilization from which on a draw turns away from an endpoint, and at which it always does: messages slow
-# down before the limit, and a report is a second old.
-TURN_AWAY_FROM, TURN_AWAY_FULLY = 0.7, 1.1
-UNCORDONED_WAIT = 2 * SECOND  # an uncordoned endpoint that was sent nothing for so long gets a request
-UNCORDONED_ATTEMPTS = 4.0  # expected from all proxies together, as it is cold
+# Utilization above which an endpoint may be skipped in a draw, and from which it always is: messages become
+# slow before the limit, and a report is a second old.
+MIN_SKIP_UTILIZATION, FULL_SKIP_UTILIZATION = 0.7, 1.1
+UNCORDONED_WAIT = 2 * SECOND  # an uncordoned endpoint without an attempt for this long is sent one
+UNCORDONED_ATTEMPTS = 4.0  # expected number of these from all proxies together, as the endpoint is cold
 
 
 class Selector:
@@ -54,50 +54,50 @@
         self.health_checks = health_checks
 
     def update_settings(self, settings: Settings) -> None:
-        """Take over settings."""
+        """Apply new settings."""
         self.settings = settings
 
     def draw_endpoint(self, request: PendingRequest, now: int) -> EndpointRecord | None:
         """Return the next endpoint of the order that admits the request; None = none does now.
 
-        Endpoints that were tried are passed over, and so is one that slow start denies to this request. A
-        draw changes state: the request is not new any more, tokens are spent, endpoints that have warmed up
-        since they were uncordoned are forgotten as such.
+        Endpoints that were tried or that deny this request are skipped. A draw changes state: the request is
+        no longer new, tokens are spent, and endpoints that have warmed up since they were uncordoned are
+        removed from ``uncordoned``.
         """
         if not self.shares.ready:
             return None
-        passed = request.tried.copy()
+        excluded = request.tried.copy()
         is_new, request.is_new = request.is_new, False
         allowed = allowed_endpoints(request, self.shares.ready, now)
         if self.endpoints.uncordoned:
-            uncordoned = self._draw_uncordoned(passed, allowed, now)
+            uncordoned = self._draw_uncordoned(excluded, allowed, now)
             if uncordoned is not None:
                 return uncordoned
-        if request.group and self._keeps_groups(request, now):
-            return self._next_of_group(request.group, passed, allowed, is_new, now)
-        endpoint = self._draw_head(passed, allowed, is_new, now)
+        if request.group and self._uses_group_order(request, now):
+            return self._next_of_group(request.group, excluded, allowed, is_new, now)
+        endpoint = self._draw_by_rejection(excluded, allowed, is_new, now)
         if endpoint is not None:
             return endpoint
-        denials = len(passed) - len(request.tried)  # all that the draws above added were denied
+        denials = len(excluded) - len(request.tried)  # all that the draws above added were denials
         if denials == MAX_DENIALS and allowed is None:
-            return self._draw_unlimited(passed, now)
-        return self._draw_exactly(passed, allowed, is_new, denials, now)
+            return self._draw_unlimited(excluded, now)
+        return self._draw_from_remaining(excluded, allowed, is_new, denials, now)
 
-    def _draw_head(
-        self, passed: list[EndpointRecord], allowed: list[EndpointRecord] | None, is_new: bool, now: int
+    def _draw_by_rejection(
+        self, excluded: list[EndpointRecord], allowed: list[EndpointRecord] | None, is_new: bool, now: int
     ) -> EndpointRecord | None:
-        """Draw by rejection; those that slow start denies are added to ``passed``."""
+        """Draw by rejection; endpoints that deny the request are added to ``excluded``."""
         random, usable, shares = self.random, self.endpoints.is_usable, self.shares
         ready, cumulative, total = shares.ready, shares.cumulative, shares.total
         last, denials = len(ready) - 1, 0
-        for _ in range(HEAD_DRAWS):
+        for _ in range(REJECTION_DRAWS):
             endpoint = ready[min(bisect(cumulative, random() * total), last)]
-            if endpoint in passed or not (allowed is None or endpoint in allowed) or not usable(endpoint):
+            if endpoint in excluded or not (allowed is None or endpoint in allowed) or not usable(endpoint):
                 continue
-            chance = self._turn_away_chance(endpoint, now)
-            if chance > 0.0 and random() < chance:
+            skip_probability = self._skip_probability(endpoint, now)
+            if skip_probability > 0.0 and random() < skip_probability:
                 continue
-            passed.append(endpoint)
+            excluded.append(endpoint)
             if self._admits(endpoint, is_new, now):
                 return endpoint
             denials += 1
@@ -105,32 +105,34 @@
                 break
         return None
 
-    def _draw_unlimited(self, passed: list[EndpointRecord], now: int) -> EndpointRecord | None:
-        """Draw among endpoints without a limit, by rejection: if hardly any is left, waiting is as good."""
+    def _draw_unlimited(self, excluded: list[EndpointRecord], now: int) -> EndpointRecord | None:
+        """Draw among endpoints without a limit, by rejection; where few are left, waiting is as good."""
         shares = self.shares
         ready, last = shares.ready, len(shares.ready) - 1
-        for _ in range(2 * HEAD_DRAWS):
+        for _ in range(2 * REJECTION_DRAWS):
             endpoint = ready[min(bisect(shares.cumulative, self.random() * shares.total), last)]
             unlimited = self._is_unlimited(endpoint, now)
-            if unlimited and endpoint not in passed and self.endpoints.is_usable(endpoint):
+            if unlimited and endpoint not in excluded and self.endpoints.is_usable(endpoint):
                 return endpoint
         return None
 
-    def _draw_exactly(
+    def _draw_from_remaining(
         self,
-        passed: list[EndpointRecord],
+        excluded: list[EndpointRecord],
         allowed: list[EndpointRecord] | None,
         is_new: bool,
         denials: int,
         now: int,
     ) -> EndpointRecord | None:
-        """Draw over all that is left of the order."""
+        """Draw over all remaining endpoints of the order."""
         usable = self.endpoints.is_usable
         candidates = self.shares.ready if allowed is None else allowed
-        left = [endpoint for endpoint in candidates if endpoint not in passed and usable(endpoint)]
-        while left:
-            sums = list(accumulate(endpoint.share for endpoint in left))
-            endpoint = left.pop(min(bisect(sums, self.random() * sums[-1]), len(left) - 1))
+        remaining = [endpoint for endpoint in candidates if endpoint not in excluded and usable(endpoint)]
+        while remaining:
+            cumulative = list(accumulate(endpoint.share for endpoint in remaining))
+            endpoint = remaining.pop(
+                min(bisect(cumulative, self.random() * cumulative[-1]), len(remaining) - 1)
+            )
             if denials == MAX_DENIALS:
                 if self._is_unlimited(endpoint, now):
                     return endpoint
@@ -140,8 +142,8 @@
                 denials += 1
         return None
 
-    def _keeps_groups(self, request: PendingRequest, now: int) -> bool:
-        """Return whether the group's own order is used: endpoints are scarce or fail, or clients return."""
+    def _uses_group_order(self, request: PendingRequest, now: int) -> bool:
+        """Return whether to use the group's own order: endpoints are scarce or fail, or a client returns."""
         if self.capacity.scarce or request.is_returning or request.attempts:
             return True
         return self.outliers.healthy_fraction(now) < HEALTHY_FRACTION
@@ -149,7 +151,7 @@
     def _next_of_group(
         self,
         group: int,
-        passed: list[EndpointRecord],
+        excluded: list[EndpointRecord],
         allowed: list[EndpointRecord] | None,
         is_new: bool,
         now: int,
@@ -157,12 +159,12 @@
         """Return the next endpoint of a group's order."""
         denials = 0
         for endpoint in rendezvous_order(group, self.shares.ready):
-            if endpoint in passed or not (allowed is None or endpoint in allowed):
+            if endpoint in excluded or not (allowed is None or endpoint in allowed):
                 continue
             if not self.endpoints.is_usable(endpoint):
                 continue
-            chance = self._turn_away_chance(endpoint, now)
-            if chance > 0.0 and self.random() < chance:
+            skip_probability = self._skip_probability(endpoint, now)
+            if skip_probability > 0.0 and self.random() < skip_probability:
                 continue
             limited = self.slow_start.limits(endpoint, now)
             if denials < MAX_DENIALS or not limited:
@@ -172,20 +174,20 @@
         return None
 
     def _draw_uncordoned(
-        self, passed: list[EndpointRecord], allowed: list[EndpointRecord] | None, now: int
+        self, excluded: list[EndpointRecord], allowed: list[EndpointRecord] | None, now: int
     ) -> EndpointRecord | None:
-        """Return an uncordoned endpoint that was sent nothing since: chance may pass it by for long.
+        """Return an uncordoned endpoint without an attempt since; by chance it might long not be drawn.
 
-        It gets one request from this proxy, or one by chance where the proxies are many.
+        It gets one request from this proxy or, with many proxies, one from some of them at random.
         """
-        for number, at in list(self.endpoints.uncordoned.items()):
-            endpoint = self.endpoints.by_id.get(number)
-            if now - at >= self.settings.rules.warm_up_time:
-                del self.endpoints.uncordoned[number]
+        for endpoint_id, uncordoned_at in list(self.endpoints.uncordoned.items()):
+            endpoint = self.endpoints.by_id.get(endpoint_id)
+            if now - uncordoned_at >= self.settings.rules.warm_up_time:
+                del self.endpoints.uncordoned[endpoint_id]
                 continue
-            if endpoint is None or not endpoint.awaits_first_attempt or now - at < UNCORDONED_WAIT:
+            if endpoint is None or not endpoint.awaits_first_attempt or now - uncordoned_at < UNCORDONED_WAIT:
                 continue
-            if endpoint in passed or not (allowed is None or endpoint in allowed):
+            if endpoint in excluded or not (allowed is None or endpoint in allowed):
                 continue
             if self.endpoints.is_usable(endpoint):
                 endpoint.awaits_first_attempt = False
@@ -193,28 +195,30 @@
                     return endpoint
         return None
 
-    def _turn_away_chance(self, endpoint: EndpointRecord, now: int) -> float:
-        """Return the chance (0 or less to 1 and more) that a draw turns away from an endpoint.
+    def _skip_probability(self, endpoint: EndpointRecord, now: int) -> float:
+        """Return the probability (may be below 0 or above 1) that a draw skips an endpoint.
 
-        It goes by the endpoint's load report, else by how far this proxy's load there is over the endpoint's
-        share of all its load. Guards against the drift of long-lived connections: a draw that ignores what
-        was placed before lets some endpoints fill while the shares look right. Within one connection of the
-        share it hardly acts.
+        It depends on the endpoint's load report, else on how far this proxy's load there exceeds the
+        endpoint's share of its total load. Guards against imbalance of long-lived connections: draws that
+        ignore the existing load let some endpoints fill up while the shares are right. Within one connection
+        of the share the effect is small.
         """
         if now - endpoint.reported_at <= REPORT_LIFETIME:
             load = self.health_checks.estimated_utilization(endpoint)
-            return (load - TURN_AWAY_FROM) / (TURN_AWAY_FULLY - TURN_AWAY_FROM)
+            return (load - MIN_SKIP_UTILIZATION) / (FULL_SKIP_UTILIZATION - MIN_SKIP_UTILIZATION)
         requests = self.requests
         if not requests.connection_count:
             return 0.0
-        due = endpoint.share / self.shares.total * requests.load
-        return (endpoint.load - due) / (due + requests.load / requests.connection_count + 1e-9)
+        expected_load = endpoint.share / self.shares.total * requests.load
+        return (endpoint.load - expected_load) / (
+            expected_load + requests.load / requests.connection_count + 1e-9
+        )
 
     def _is_unlimited(self, endpoint: EndpointRecord, now: int) -> bool:
         return not self.slow_start.limits(endpoint, now) and not self.capacity.is_full(endpoint, now)
 
     def _admits(self, endpoint: EndpointRecord, is_new: bool, now: int) -> bool:
-        self.outliers.healthy_fraction(now)  # assessed first: the failure scores below depend on it
+        self.outliers.healthy_fraction(now)  # assessed first, since the failure scores below depend on it
         if self.capacity.is_full(endpoint, now):
             return False
         return self.slow_start.admits(endpoint, is_new, now)
--- a/arrowseam/balancer/settings.py
+++ b/arrowseam/balancer/settings.py
@@ -1,7 +1,7 @@
 """Settings of the balancer, as decoded from the configuration.
 
 All times and durations are whole microseconds unless a field says otherwise. Classes, tenants, zones and
-cells are positions in the configuration's lists; the balancer reads nothing from a name.
+cells are identified by their positions in the configuration's lists, not by name.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class Idempotency(Enum):
-    """What happens if a request runs more than once."""
+    """The effect of running a request more than once."""
 
     IDEMPOTENT = "idempotent"  # a retry is harmless at any endpoint
-    KEYED = "keyed"  # endpoints of one scope drop retries with the same key, for a limited time
+    KEYED = "keyed"  # endpoints within a scope drop retries with the same key, for a limited time
     NON_IDEMPOTENT = "non-idempotent"  # a retry takes effect again
 
 
@@ -33,13 +33,13 @@
     """A class of requests with its objectives and what a retry of it may do.
 
     Attributes:
-        latency_objective: a connection set up within this time earns its full weight.
-        deadline: time from the client's opening until the final answer is owed.
-        priority_weight: value of a served request beside those of other classes; no unit.
-        idempotency: what a retry does.
+        latency_objective: time within which a connection should be set up.
+        deadline: time from the client's opening message until the final answer is due.
+        priority_weight: value of a served request relative to other classes; no unit.
+        idempotency: the effect of a retry.
         deduplication_scope: for keyed classes, which endpoints recognise a retry.
         deduplication_window: for keyed classes, how long after the first attempt they recognise it.
-        message_latency_objective: the same for a message on an open connection; 0 = none stated.
+        message_latency_objective: the latency objective of a message on an open connection; 0 = none.
     """
 
     latency_objective: int
@@ -57,7 +57,7 @@
 
     Attributes:
         connection_quota: open connections.
-        rate_quota: new connections a second.
+        rate_quota: new connections per second.
     """
 
     connection_quota: float = 0.0
@@ -66,15 +66,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the platform holds every proxy to.
+    """Rules of the platform for every proxy.
 
     Attributes:
         drain_grace: how long after its drain is notified an endpoint may still be sent attempts.
         max_poll_interval: an endpoint list older than this counts as stale.
-        cold_capacity_fraction: the part of its capacity that an endpoint surely has when it has just started.
-        warm_up_time: from the start of an endpoint until it has all of its capacity.
+        cold_capacity_fraction: guaranteed part of its capacity that an endpoint has when it has just started.
+        warm_up_time: from the start of an endpoint until it has its full capacity.
         overload_multiple: how many times its usual traffic a warm endpoint can take.
-        overload_window: an endpoint fails when it is overloaded for so long.
+        overload_window: an endpoint fails when it is overloaded for this long.
     """
 
     drain_grace: int = 0
@@ -87,12 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a proxy may do.
+    """Limits on what a proxy may do.
 
     Attributes:
         max_attempts: attempts for one request, the first included.
-        connect_timeout: time for a TCP connection to come up; 0 = the protocol's default.
-        max_retry_after: the longest Retry-After that may be asked of a client.
+        connect_timeout: timeout of establishing a TCP connection; 0 = the protocol's default.
+        max_retry_after: the longest Retry-After that may be sent to a client.
         retry_after_allowed: whether a rejection may carry a Retry-After.
         health_checks_allowed: whether endpoints answer health checks.
     """
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Costs as a part of what a served first attempt earns, for each unit and first attempt.
+    """Costs relative to the value of a request that is served at its first attempt.
 
     Attributes:
         cross_zone: a connection to an endpoint of another zone.
@@ -119,15 +119,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is configured with.
+    """The settings of a balancer.
 
     Attributes:
         proxy_index: which of the ``proxy_count`` proxies this is.
         proxy_count: proxies that share quotas and the capacity of the endpoints.
         zone: the zone of this proxy.
         zones: how many zones there are.
-        watch_discovery: the endpoint list comes only to those that watch it; else it is pushed.
-        group_affinity: connections of one group share work on an endpoint.
+        watch_discovery: the endpoint list is sent only to watchers; else it is pushed.
+        group_affinity: connections of one affinity group share work on an endpoint.
         report_fields: names of the values in a load report, in order.
         timer_resolution: how late a timer may fire.
         reports_load: endpoints report the load of a connection (``LoadReported``).
--- a/arrowseam/balancer/slow_start.py
+++ b/arrowseam/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much an endpoint is sent while it warms up, or while it has a failure score."""
+"""Slow start: admission to endpoints while they warm up or have a failure score."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from arrowseam.balancer.units import SECOND
 
 QUOTA_FRACTION = 0.82  # the tenants' quotas add up to about this part of what all endpoints can carry
-# A surge: so many arrivals in the overload window, and so many times the usual. With fewer it may be chance.
+# A surge has at least this many arrivals in the overload window, and this many times the usual rate. With
+# fewer arrivals it may be chance.
 SURGE_ARRIVALS, SURGE_RATIO = 2.0, 1.5
-MIN_BUCKET = 0.05  # connections in the overload window; a smaller part of a proxy is no bucket, but a chance
-BURST_FRACTION = 0.25  # of what an endpoint may be sent in the overload window, what may be saved up
-LIKELY_MULTIPLE = 1.5  # how much better than the slowest allowed an endpoint is likely to warm up
+MIN_BUCKET_SIZE = 0.05  # connections per overload window; below it a proxy admits at random, without a bucket
+BURST_FRACTION = 0.25  # bucket size, as a part of what an endpoint may be sent in the overload window
+EXPECTED_MULTIPLE = 1.5  # expected warm-up speed of an endpoint, relative to the slowest allowed
 
 
 def warm_up_fraction(endpoint: EndpointRecord, now: int, rules: Rules) -> float:
-    """Return the part of its capacity that an endpoint surely has, by its age."""
+    """Return the guaranteed part of its capacity that an endpoint has at its age."""
     age = max(0, now - endpoint.warming_since)
     if age >= rules.warm_up_time:
         return 1.0
@@ -28,22 +29,22 @@
     return cold + (1.0 - cold) * age / rules.warm_up_time
 
 
-def likely_fraction(endpoint: EndpointRecord, now: int, rules: Rules) -> float:
-    """Return the part of its capacity that an endpoint likely has: most warm up sooner than the rules say."""
+def expected_fraction(endpoint: EndpointRecord, now: int, rules: Rules) -> float:
+    """Return the expected part of its capacity: most endpoints warm up faster than the rules guarantee."""
     age = max(0, now - endpoint.warming_since)
     if age >= rules.warm_up_time:
         return 1.0
-    cold = min(1.0, LIKELY_MULTIPLE * rules.cold_capacity_fraction)
-    return min(1.0, cold + (1.0 - cold) * LIKELY_MULTIPLE * age / rules.warm_up_time)
+    cold = min(1.0, EXPECTED_MULTIPLE * rules.cold_capacity_fraction)
+    return min(1.0, cold + (1.0 - cold) * EXPECTED_MULTIPLE * age / rules.warm_up_time)
 
 
 class SlowStart:
     """Admission to endpoints that are warming up or failing, by a token bucket at each proxy.
 
-    Guards against retry storms: clients that were cut off arrive again at once, and an endpoint that spends
-    its capacity on set-ups that it must drop never recovers. A proxy's part is often a small fraction of a
-    connection. It accrues with time and is spent as the chance to send one, whether that is won or lost, so
-    that over all proxies the expected sum is what accrued.
+    Guards against retry storms: disconnected clients return at once, and an endpoint that spends its
+    capacity on set-ups that it must drop never recovers. A proxy's tokens are often a small fraction of a
+    connection. They accrue with time and are spent as the probability of sending one, whether or not it is
+    sent, so that the expected sum over all proxies is what accrued.
     """
 
     def __init__(
@@ -59,72 +60,75 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
-        """Take over settings."""
+        """Apply new settings."""
         self.settings, self.rules = settings, settings.rules
-        # New connections a microsecond that all endpoints take, from all proxies; 0 = no quota is stated.
-        self.total_rate = sum(t.rate_quota for t in settings.tenants) / QUOTA_FRACTION / SECOND
+        # New connections per microsecond that all endpoints accept from all proxies; 0 = no quota is stated.
+        self.total_rate = sum(tenant.rate_quota for tenant in settings.tenants) / QUOTA_FRACTION / SECOND
 
     def limits(self, endpoint: EndpointRecord, now: int) -> bool:
-        """Return whether the endpoint is sent less than its share now."""
+        """Return whether the endpoint currently gets less than its share."""
         if self.outliers.failure_score(endpoint, now) > 0.0:
             return True
         return endpoint.warming_since > 0 and warm_up_fraction(endpoint, now, self.rules) < 1.0
 
     def admits(self, endpoint: EndpointRecord, is_new: bool, now: int) -> bool:
-        """Return whether a request, a new one or not, may be sent there; this spends tokens.
+        """Return whether a request (new or not) may be sent there; this spends tokens.
 
-        While little fails, an endpoint runs at no more than about half of what it can do. So its usual
-        traffic is that much further from its limit, and what it may be sent grows with the healthy part.
+        While few endpoints fail, each runs at about half of its capacity at most. Its usual traffic is that
+        much further from its limit, so what it may be sent grows with the healthy part.
         """
         score = self.outliers.failure_score(endpoint, now)
-        warm = warm_up_fraction(endpoint, now, self.rules) if endpoint.warming_since > 0 else 1.0
-        if score <= 0.0 and warm >= 1.0:
+        warm_fraction = warm_up_fraction(endpoint, now, self.rules) if endpoint.warming_since > 0 else 1.0
+        if score <= 0.0 and warm_fraction >= 1.0:
             return True
-        part: float = 0.5 ** float(score)
-        if warm < 1.0:
-            part *= self.rules.overload_multiple * warm
+        fraction: float = 0.5 ** float(score)
+        if warm_fraction < 1.0:
+            fraction *= self.rules.overload_multiple * warm_fraction
             if is_new:
-                return self._admits_new(endpoint, part, now)
-            part *= 1.0 + self.outliers.healthy_fraction(now)
+                return self._admits_new(endpoint, fraction, now)
+            fraction *= 1.0 + self.outliers.healthy_fraction(now)
         if is_new:
-            return self.random() < part
-        rate = part * endpoint.share / self.shares.total * self.arrivals.usual_rate()
+            return self.random() < fraction
+        rate = fraction * endpoint.share / self.shares.total * self.arrivals.usual_rate()
         accrued = max(0.0, endpoint.tokens) + rate * (now - endpoint.tokens_at)
-        tokens = min(max(part, rate * self.rules.overload_window), accrued)
+        tokens = min(max(fraction, rate * self.rules.overload_window), accrued)
         endpoint.tokens_at = now
         endpoint.tokens = max(0.0, tokens - 1.0)
         return self.random() < tokens
 
-    def _admits_new(self, endpoint: EndpointRecord, part: float, now: int) -> bool:
-        """Return whether a new request goes to a warming endpoint that may have ``part`` of its warm traffic.
+    def _admits_new(self, endpoint: EndpointRecord, fraction: float, now: int) -> bool:
+        """Return whether to send a new request to a warming endpoint, at this fraction of its warm traffic.
 
-        Guards against a surge, which is on its way to all proxies at once before anything fails by it.
+        Guards against a surge, which arrives at all proxies at once, before any endpoint fails.
         """
         window = self.rules.overload_window
         usual, current = self._arrival_rates(window)
         healthy = self.outliers.healthy_fraction(now)
-        own = self._own_rate(part, endpoint)
-        if own * window < MIN_BUCKET:
-            # Arrivals are not spread evenly over so many proxies: to keep each to its part would leave most
-            # of it unused, and chance is several times what one may send. All see the same surge.
-            return self.random() < part * (1.0 + (healthy if self.total_rate else 0.0)) * usual / current
-        part *= 1.0 + healthy
+        own_rate = self._own_rate(fraction, endpoint)
+        if own_rate * window < MIN_BUCKET_SIZE:
+            # Arrivals are not spread evenly over many proxies: limiting each to its part would leave most of
+            # it unused, as random variation is several times that part. All proxies see the same surge.
+            return self.random() < fraction * (1.0 + (healthy if self.total_rate else 0.0)) * usual / current
+        fraction *= 1.0 + healthy
         if self.arrivals.observed >= window:
-            part = min(part, own / (endpoint.share / self.shares.total * current))
-        start = endpoint.tokens if endpoint.tokens >= 0.0 else max(0.0, 1.0 - own * window)
-        tokens = min(max(1.0, own * window * BURST_FRACTION), start + own * (now - endpoint.tokens_at))
+            fraction = min(fraction, own_rate / (endpoint.share / self.shares.total * current))
+        initial_tokens = endpoint.tokens if endpoint.tokens >= 0.0 else max(0.0, 1.0 - own_rate * window)
+        tokens = min(
+            max(1.0, own_rate * window * BURST_FRACTION),
+            initial_tokens + own_rate * (now - endpoint.tokens_at),
+        )
         endpoint.tokens_at = now
-        sent = self.random() < min(part, tokens)
-        endpoint.tokens = max(0.0, tokens - sent)
-        return sent
+        admitted = self.random() < min(fraction, tokens)
+        endpoint.tokens = max(0.0, tokens - admitted)
+        return admitted
 
-    def _own_rate(self, part: float, endpoint: EndpointRecord) -> float:
-        """Return connections a microsecond: this proxy's part of what all may send, by weight."""
+    def _own_rate(self, fraction: float, endpoint: EndpointRecord) -> float:
+        """Return this proxy's part of the rate that all proxies may send there, connections/microsecond."""
         usable_weight = max(1, self.shares.usable_weight)
-        return part * self.total_rate * endpoint.weight / usable_weight / self.settings.proxy_count
+        return fraction * self.total_rate * endpoint.weight / usable_weight / self.settings.proxy_count
 
     def _arrival_rates(self, window: int) -> tuple[float, float]:
-        """Return the usual rate of arrivals and the current one, which differs in a surge only."""
+        """Return the usual rate of arrivals and the current one; they differ only in a surge."""
         arrivals = self.arrivals
         usual, current = arrivals.usual_rate(), arrivals.recent_count / window
         surge = arrivals.recent_count >= SURGE_ARRIVALS and current >= SURGE_RATIO * usual
--- a/arrowseam/balancer/units.py
+++ b/arrowseam/balancer/units.py
@@ -1,4 +1,4 @@
-"""Units that the decision modules share. All times and durations are whole microseconds."""
+"""Units shared by the decision modules. All times and durations are whole microseconds."""
 
 SECOND = 1_000_000  # microseconds
-NEVER = -(1 << 62)  # a time before every other
+NEVER = -(1 << 62)  # a time before all others
--- a/arrowseam/balancer/weights.py
+++ b/arrowseam/balancer/weights.py
@@ -10,7 +10,7 @@
 
 
 def scaled_weight(weight: float) -> int:
-    """Return a list weight as a positive integer. NaN, infinite and negative weights count as 1."""
+    """Return a weight of the endpoint list as a positive integer. NaN, infinite and negative count as 1."""
     if not math.isfinite(weight) or weight < 0:
         weight = 1.0
     return max(1, min(WEIGHT_MAX, round(weight * WEIGHT_SCALE)))
@@ -23,7 +23,7 @@
 
 
 def zone_shares(endpoints: list[tuple[int, int]]) -> dict[int, tuple[int, int]]:
-    """Return for each zone its share of all zones (UQ1.31) and its scaled weight."""
+    """Return the share (UQ1.31) and the scaled weight of each zone."""
     weights: dict[int, int] = {}
     for zone, weight in endpoints:
         weights[zone] = weights.get(zone, 0) + weight
--- a/arrowseam/simulator/__init__.py
+++ b/arrowseam/simulator/__init__.py
@@ -1,5 +1,5 @@
-"""The balancer on the simulator's wire: ``python -m arrowseam.simulator``.
+"""Adapter that connects balancers to the simulator: ``python -m arrowseam.simulator``.
 
-Batches of events come on standard input, one reply a batch goes to standard output. ``codec`` holds the
-frames and records, ``instances`` the balancers. Nothing is decided here.
+Reads batches of events from standard input and writes one reply per batch to standard output. ``codec`` has
+the frames and records, ``instances`` the balancers. No decisions are made here.
 """
--- a/arrowseam/simulator/codec.py
+++ b/arrowseam/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Frames and records of the simulator's wire: events decoded, actions encoded.
+"""Frames and records of the simulator protocol: decodes events and encodes actions.
 
 All numbers are big-endian. A batch is a header, event records of equal size and a tail that records point
-into; a reply is the same with action records. The names here are the field's; only numbers are on the wire.
+into; a reply is the same with action records. The protocol identifies kinds by number, not by these names.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class EventCode(IntEnum):
-    """What an event record holds."""
+    """Kinds of event records."""
 
     ENDPOINT_UPDATE = 256
     CLIENT_DISCONNECTED = 257
@@ -66,7 +66,7 @@
 
 
 class ActionCode(IntEnum):
-    """What an action record holds; 257 to 259 and 265 are actions that this balancer never takes."""
+    """Kinds of action records; 257 to 259 and 265 are actions that this balancer does not use."""
 
     START_ATTEMPT = 256
     LOG_MESSAGE = 260
@@ -80,13 +80,13 @@
 
 
 class ReportKind(IntEnum):
-    """What a connection report says."""
+    """Kinds of connection reports."""
 
     LOAD = 1
     LATENCY = 2
 
 
-# Bits of an arrival.
+# Flags of an arrival.
 FLAG_LOAD_KNOWN = 1
 FLAG_RETRY = 2
 FLAG_RECONNECT = 16
@@ -101,12 +101,12 @@
     114: Outcome.NOT_SENT,
     125: Outcome.MIGRATED,
 }
-STATES = {1: EndpointState.READY, 2: EndpointState.DRAINING}  # any other: removed
-UPDATE_KINDS = 4  # kinds that an endpoint list may have on this wire: the first ones of ``UpdateKind``
+STATES = {1: EndpointState.READY, 2: EndpointState.DRAINING}  # any other value: removed
+UPDATE_KINDS = 4  # kinds of endpoint updates in this protocol: the first ones of ``UpdateKind``
 
 _BATCH = struct.Struct(">IIIQ")
 _REPLY = struct.Struct(">III")
-HEADER = struct.Struct(">HI")  # code and instance, at the head of each record
+HEADER = struct.Struct(">HI")  # code and instance, at the start of each record
 HEADER_SIZE = HEADER.size
 _STARTED = struct.Struct(">QII")
 _ENDPOINT_UPDATE = struct.Struct(">IBII")
@@ -153,9 +153,9 @@
     return data
 
 
-def endpoint_id(raw: bytes) -> int:
-    """Return an endpoint's id: its address and port as a number."""
-    return int.from_bytes(raw, "big")
+def endpoint_id(address: bytes) -> int:
+    """Return the id of an endpoint: its address and port as a number."""
+    return int.from_bytes(address, "big")
 
 
 def decode_start(body: memoryview, at: int, tail: memoryview) -> tuple[int, bytes]:
@@ -165,7 +165,7 @@
 
 
 def decode_event(code: int, body: memoryview, at: int, tail: memoryview) -> Event | None:
-    """Decode the record at ``at``; None for what a balancer isn't notified of.
+    """Decode the record at ``at``; None if it is not an event for a balancer.
 
     Raises:
         DecodeError: the code is unknown or a field is out of range.
@@ -175,7 +175,7 @@
         return decode(body, at + HEADER_SIZE)
     if code == EventCode.ENDPOINT_UPDATE:
         return _decode_endpoint_update(body, at + HEADER_SIZE, tail)
-    if code == EventCode.PEER_MESSAGE:  # proxies send each other nothing through the balancer
+    if code == EventCode.PEER_MESSAGE:  # proxies exchange no messages through the balancer
         _, offset, length = _PEER_MESSAGE.unpack_from(body, at + HEADER_SIZE)
         _slice(tail, offset, length)
         return None
@@ -191,18 +191,18 @@
 def _decode_endpoint_update(body: memoryview, at: int, tail: memoryview) -> Event:
     version, kind, offset, count = _ENDPOINT_UPDATE.unpack_from(body, at)
     if kind >= UPDATE_KINDS:
-        raise DecodeError(f"unknown list mode {kind}")
+        raise DecodeError(f"unknown endpoint update kind {kind}")
     size = _ENDPOINT.size
     rows = _slice(tail, offset, count * size)
     endpoints = tuple(_decode_endpoint(bytes(rows[n : n + size])) for n in range(0, len(rows), size))
     return EndpointUpdate(UpdateKind(kind), version, endpoints)
 
 
-@lru_cache(maxsize=1 << 14)  # each of hundreds of instances is sent the same rows
+@lru_cache(maxsize=1 << 14)  # hundreds of instances receive the same rows
 def _decode_endpoint(row: bytes) -> Endpoint:
-    zone, raw, weight, machine_type, started_at, state, cell = _ENDPOINT.unpack(row)
+    zone, address, weight, machine_type, started_at, state, cell = _ENDPOINT.unpack(row)
     known_state = STATES.get(state, EndpointState.REMOVED)
-    return Endpoint(endpoint_id(raw), zone, weight, machine_type, started_at, known_state, cell)
+    return Endpoint(endpoint_id(address), zone, weight, machine_type, started_at, known_state, cell)
 
 
 def _decode_arrival(body: memoryview, at: int) -> RequestArrived:
@@ -212,7 +212,7 @@
         class_index=class_index,
         tenant_index=tenant,
         flow_key=key,
-        time_left=time_left if time_left < 1 << 31 else 0,  # else a negative number
+        time_left=time_left if time_left < 1 << 31 else 0,  # larger values are negative numbers
         expected_load=float(load) if flags & FLAG_LOAD_KNOWN else 0.0,
         group=group,
         is_retry=bool(flags & FLAG_RETRY),
@@ -221,8 +221,8 @@
 
 
 def _decode_adopted(body: memoryview, at: int) -> Event:
-    (raw,) = _ENDPOINT_ID.unpack_from(body, at - HEADER_SIZE + _ADOPTED_ENDPOINT_OFFSET)
-    return ConnectionAdopted(_decode_arrival(body, at), endpoint_id(raw))
+    (address,) = _ENDPOINT_ID.unpack_from(body, at - HEADER_SIZE + _ADOPTED_ENDPOINT_OFFSET)
+    return ConnectionAdopted(_decode_arrival(body, at), endpoint_id(address))
 
 
 def _decode_disconnected(body: memoryview, at: int) -> Event:
@@ -234,33 +234,33 @@
 
 
 def _decode_established(body: memoryview, at: int) -> Event:
-    request_id, attempt, raw, elapsed = _ESTABLISHED.unpack_from(body, at)
-    return ConnectionEstablished(request_id, attempt, endpoint_id(raw), elapsed)
+    request_id, attempt, address, elapsed = _ESTABLISHED.unpack_from(body, at)
+    return ConnectionEstablished(request_id, attempt, endpoint_id(address), elapsed)
 
 
 def _decode_ended(body: memoryview, at: int) -> Event:
-    request_id, attempt, raw, code, elapsed, is_final, count, *values = _ENDED.unpack_from(body, at)
+    request_id, attempt, address, code, elapsed, is_final, count, *values = _ENDED.unpack_from(body, at)
     outcome = OUTCOMES.get(code, Outcome.UNKNOWN)
     report = tuple(values[:count])
-    return AttemptEnded(request_id, attempt, endpoint_id(raw), outcome, elapsed, bool(is_final), report)
+    return AttemptEnded(request_id, attempt, endpoint_id(address), outcome, elapsed, bool(is_final), report)
 
 
 def _decode_health_check(body: memoryview, at: int) -> Event:
-    raw, elapsed, code, count, *values = _HEALTH_CHECK_ENDED.unpack_from(body, at)
+    address, elapsed, code, count, *values = _HEALTH_CHECK_ENDED.unpack_from(body, at)
     outcome = OUTCOMES.get(code, Outcome.UNKNOWN)
-    return HealthCheckEnded(endpoint_id(raw), outcome, elapsed, tuple(values[:count]))
+    return HealthCheckEnded(endpoint_id(address), outcome, elapsed, tuple(values[:count]))
 
 
 def _decode_connection_report(body: memoryview, at: int) -> Event | None:
-    request_id, attempt, raw, kind, value = _CONNECTION_REPORT.unpack_from(body, at)
+    request_id, attempt, address, kind, value = _CONNECTION_REPORT.unpack_from(body, at)
     if kind == ReportKind.LOAD:
-        return LoadReported(request_id, attempt, endpoint_id(raw), value)
+        return LoadReported(request_id, attempt, endpoint_id(address), value)
     if kind == ReportKind.LATENCY:
-        return LatencyReported(request_id, attempt, endpoint_id(raw), value)
-    return None  # a kind that this version does not know
+        return LatencyReported(request_id, attempt, endpoint_id(address), value)
+    return None  # a kind unknown to this version
 
 
-# Events that do not point into the tail; called with the position of the first byte after the header.
+# Decoders of events that do not use the tail; called with the offset of the first byte after the header.
 DECODERS: dict[int, Callable[[memoryview, int], Event | None]] = {
     EventCode.CLIENT_DISCONNECTED: _decode_disconnected,
     EventCode.REQUEST_ARRIVED: _decode_arrival,
@@ -284,8 +284,8 @@
         """Add an action of an instance."""
         match action:
             case StartAttempt(request, endpoint, timeout):
-                raw, timeout = endpoint.to_bytes(6, "big"), min(max(timeout, 0), U32_MAX)
-                self._add("HII6sI", ActionCode.START_ATTEMPT, instance, request, raw, timeout)
+                address, timeout = endpoint.to_bytes(6, "big"), min(max(timeout, 0), U32_MAX)
+                self._add("HII6sI", ActionCode.START_ATTEMPT, instance, request, address, timeout)
             case SetTimer(delay, token):
                 self._add("HIIQ", ActionCode.SET_TIMER, instance, min(max(delay, 0), MAX_DELAY), token)
             case Reject(request, retry_after):
@@ -303,11 +303,11 @@
                 self._add("HIB", ActionCode.WATCH_ENDPOINTS, instance, int(enabled))
 
     def add_fault(self, instance: int, text: str) -> None:
-        """Add the report of a fault of an instance's balancer."""
+        """Add a report of an exception in an instance's balancer."""
         self._add_text(ActionCode.FAULT, instance, text)
 
     def frame(self, number: int) -> bytes:
-        """Return the reply to the batch of this number."""
+        """Return the reply to the batch with this number."""
         size = ACTION_SIZE * len(self.records) + len(self.tail)
         return b"".join((_REPLY.pack(number, size, len(self.records)), *self.records, self.tail))
 
--- a/arrowseam/simulator/instances.py
+++ b/arrowseam/simulator/instances.py
@@ -1,4 +1,4 @@
-"""The instance table: one balancer an instance, nothing shared between them."""
+"""The instance table: one balancer per instance, with no shared state."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     read_batch,
 )
 
-LIFE_CYCLE = frozenset((EventCode.INSTANCE_STARTED, EventCode.INSTANCE_STOPPED))
+LIFECYCLE_CODES = frozenset((EventCode.INSTANCE_STARTED, EventCode.INSTANCE_STOPPED))
 
 
 class InstanceTable:
-    """The balancers of the instances that are up, by instance number."""
+    """The balancers of the running instances, by instance number."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
 
     def handle_batch(self, now: int, count: int, body: bytes) -> ReplyWriter:
-        """Hand a batch out by instance, in the order in which the instances first appear in it.
+        """Pass the events of a batch to their instances, in the order in which these first appear in it.
 
         Raises:
             DecodeError: the batch is malformed.
@@ -41,8 +41,8 @@
         queues: dict[int, list[Event]] = {}
         for at in range(0, count * EVENT_SIZE, EVENT_SIZE):
             code, instance = HEADER.unpack_from(view, at)
-            if code in LIFE_CYCLE:
-                # Whatever came before belongs to the incarnation that ends here.
+            if code in LIFECYCLE_CODES:
+                # Earlier events in the batch belong to the incarnation that ends here.
                 self._handle(instance, now, queues.pop(instance, []), reply)
                 self.balancers.pop(instance, None)
                 if code == EventCode.INSTANCE_STARTED:
@@ -59,10 +59,12 @@
     def _handle(self, instance: int, now: int, events: list[Event], reply: ReplyWriter) -> None:
         balancer = self.balancers.get(instance)
         if balancer is None or not events:
-            return  # events of an instance that is not up mean nothing
+            return  # events of an instance that is not running are ignored
         try:
             actions = balancer.handle(now, events)
-        except Exception as error:  # the simulator counts faults of the balancer, so all are reported
+        except (
+            Exception
+        ) as error:  # the simulator counts faults of the balancer, so every exception is reported
             reply.add_fault(instance, f"{type(error).__name__}: {error}")
             print(f"simulator: instance {instance}: {error!r}", file=sys.stderr)
             return
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -119,7 +119,7 @@
         (start(b'{"lanes": [{"aim": NaN}]}'), b"aim"),
         (start(b'{"lanes": [{"effect": "odd"}]}'), b"effect"),
         (start(b'{"lanes": [{}], "balancers": 2, "me": 2}'), b"proxy"),
-        (batch(1, 0, [record(256, 1, struct.pack(">IBII", 1, 9, 0, 0))]), b"list mode"),
+        (batch(1, 0, [record(256, 1, struct.pack(">IBII", 1, 9, 0, 0))]), b"endpoint update kind 9"),
     ],
 )
 def test_malformed_input_ends_with_one_plain_line(data: bytes, word: bytes) -> None:
