--- a/arrowseam/balancer/balancer.py
+++ b/arrowseam/balancer/balancer.py
@@ -408,14 +408,14 @@
 
     def _rebalance(self) -> None:
         """Migrate off leaving and, where slow messages are not reported, off overcommitted endpoints."""
-        self._migrate(self.rebalancer.off_leaving(self.now))
+        self._migrate(self.rebalancer.select_from_leaving(self.now))
         if self.settings.reports_latency:
             return
         if self.shares.outdated:
             self._refresh_shares()
         self.capacity.update(self.now)
         if not self.limiter.is_congested(self.now):  # migrated clients may then find no new connection
-            self._migrate(self.rebalancer.off_overcommitted())
+            self._migrate(self.rebalancer.select_from_overcommitted())
 
     def _migrate(self, request_ids: Iterable[int]) -> None:
         self.actions += [Migrate(request_id) for request_id in request_ids]
--- a/arrowseam/balancer/capacity.py
+++ b/arrowseam/balancer/capacity.py
@@ -95,7 +95,7 @@
         """Return the capacity of an endpoint when it is warm, in connections, by its weight."""
         return self.total * endpoint.weight / max(1, self.full_weight)
 
-    def is_short(self) -> bool:
+    def has_shortage(self) -> bool:
         """Return whether endpoints are scarce and demand takes most of the remaining capacity.
 
         Guards against filling the remaining endpoints until no client there is served in time.
@@ -124,7 +124,7 @@
         if self.reports_latency or not requests.connection_count or not self.full_weight:
             return False
         warm = now - endpoint.warming_since >= self.rules.warm_up_time
-        if not (self.is_short() if warm else self.can_estimate_connections(endpoint)):
+        if not (self.has_shortage() if warm else self.can_estimate_connections(endpoint)):
             return False
         mean = requests.load / requests.connection_count
         if endpoint.rounding_draw < 0.0:
--- a/arrowseam/balancer/rebalancing.py
+++ b/arrowseam/balancer/rebalancing.py
@@ -65,7 +65,7 @@
             selected.append(request_id)
         return selected
 
-    def off_leaving(self, now: int) -> list[int]:
+    def select_from_leaving(self, now: int) -> list[int]:
         """Return connections to migrate off cordoned and draining endpoints in this round.
 
         Guards against clients that are all disconnected when a draining endpoint stops, and against all
@@ -86,7 +86,7 @@
                 endpoint.draining_since = 0
         return migrated
 
-    def off_overcommitted(self) -> list[int]:
+    def select_from_overcommitted(self) -> list[int]:
         """Return connections to migrate off endpoints whose load exceeds their capacity by weight.
 
         Guards against connections that concentrate on one endpoint where slow messages are not reported. In
@@ -99,7 +99,7 @@
         usable = capacity.total * capacity.shares.usable_weight / max(1, capacity.full_weight)
         proxies = self.settings.proxy_count
         has_spare = 0.0 < proxies * requests.connection_count < SPARE_FRACTION * usable
-        if not has_spare and not capacity.is_short():
+        if not has_spare and not capacity.has_shortage():
             return []
         mean = requests.load / requests.connection_count
         migrated: list[int] = []
