--- a/tests/test_fleet.py
+++ b/tests/test_many_proxies.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from dataclasses import replace
 
-from fleet import Fleet
 from helpers import SECOND, START, arrival, attempt_ended, attempts, make_balancer, make_endpoints
+from proxy_fleet import Fleet
 
 from arrowseam.balancer.events import Endpoint, EndpointState, EndpointUpdate, Outcome, UpdateKind
 from arrowseam.balancer.settings import Tenant
--- a/tests/test_cold_fleet.py
+++ b/tests/test_slow_start.py
@@ -7,8 +7,8 @@
 from dataclasses import replace
 
 import pytest
-from fleet import Fleet
 from helpers import SECOND, settings
+from proxy_fleet import Fleet
 
 from arrowseam.balancer.events import Endpoint, EndpointUpdate, UpdateKind
 from arrowseam.balancer.settings import Tenant
