--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A hand-driven proxy: settings with sensible values and a tiny world that answers its actions."""
+"""Helpers for tests of the balancer: default settings, events, filters of actions, a clock for timers."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
     return replace(base, **changes)
 
 
-def make_endpoints(n: int, **fields: Any) -> tuple[Endpoint, ...]:
-    return tuple(Endpoint(endpoint_id=100 + i, **fields) for i in range(n))
+def make_endpoints(count: int, **fields: Any) -> tuple[Endpoint, ...]:
+    return tuple(Endpoint(endpoint_id=100 + i, **fields) for i in range(count))
 
 
 def snapshot(entries: tuple[Endpoint, ...]) -> EndpointUpdate:
@@ -58,12 +58,14 @@
     return balancer
 
 
-def arrival(request: int, **fields: Any) -> RequestArrived:
-    return RequestArrived(request, **({"time_left": 2 * SECOND} | fields))
+def arrival(request_id: int, **fields: Any) -> RequestArrived:
+    return RequestArrived(request_id, **({"time_left": 2 * SECOND} | fields))
 
 
-def attempt_ended(send: StartAttempt, outcome: Outcome, attempt: int = 0, **fields: Any) -> AttemptEnded:
-    return AttemptEnded(send.request_id, attempt, send.endpoint_id, outcome, **fields)
+def attempt_ended(
+    start: StartAttempt, outcome: Outcome, attempt_number: int = 0, **fields: Any
+) -> AttemptEnded:
+    return AttemptEnded(start.request_id, attempt_number, start.endpoint_id, outcome, **fields)
 
 
 def attempts(actions: list[Action]) -> list[StartAttempt]:
@@ -75,28 +77,28 @@
 
 
 class Clock:
-    """Runs a proxy's own timers, so that a test sees what it does while nothing else happens."""
+    """Drives a balancer and fires its timers, so that a test sees its actions without other events."""
 
     def __init__(self, balancer: Balancer, now: int = START) -> None:
         self.balancer, self.now = balancer, now
         self.timers: list[tuple[int, int]] = []
 
     def step(self, *events: Event, after: int = 0) -> list[Action]:
-        """Hand over events ``after`` a while; returns the actions other than timers."""
+        """Pass events ``after`` microseconds; returns the actions other than timers."""
         self.now += after
         actions = self.balancer.handle(self.now, list(events))
-        wakes = [a for a in actions if isinstance(a, SetTimer)]
-        self.timers += [(self.now + max(1, a.delay), a.token) for a in wakes]
+        timers = [a for a in actions if isinstance(a, SetTimer)]
+        self.timers += [(self.now + max(1, a.delay), a.token) for a in timers]
         return [a for a in actions if not isinstance(a, SetTimer)]
 
-    def wait(self, span: int) -> list[Action]:
-        """Let time pass; stops early at the first action that is not a timer."""
-        end = self.now + span
+    def wait(self, duration: int) -> list[Action]:
+        """Advance the time; stops early at the first action that is not a timer."""
+        end = self.now + duration
         while self.timers and min(self.timers)[0] <= end:
-            due = min(self.timers)
-            self.timers.remove(due)
-            self.now = max(self.now, due[0])
-            if actions := self.step(TimerFired(due[1])):
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now = max(self.now, timer[0])
+            if actions := self.step(TimerFired(timer[1])):
                 return actions
         self.now = max(self.now, end)
         return []
--- a/tests/test_decision_modules.py
+++ b/tests/test_decision_modules.py
@@ -1,4 +1,4 @@
-"""The decision modules: all of them are named in the deploy file, and none does I/O or reads a clock."""
+"""The decision modules: the deploy file lists all of them, and none does I/O or reads a clock."""
 
 import ast
 import tomllib
@@ -15,7 +15,7 @@
 }  # fmt: skip
 
 
-def test_the_deploy_file_names_every_decision_module() -> None:
+def test_the_deploy_file_lists_every_decision_module() -> None:
     assert sorted(DEPLOY["policy"]) == MODULES
 
 
@@ -28,23 +28,25 @@
             imported |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             imported.add(node.module)
-    own = {module for module in imported if str(module).startswith("arrowseam")}
-    assert all(module == "arrowseam.errors" or module.startswith("arrowseam.balancer") for module in own)
-    assert imported - own <= PURE
+    own_modules = {module for module in imported if str(module).startswith("arrowseam")}
+    assert all(
+        module == "arrowseam.errors" or module.startswith("arrowseam.balancer") for module in own_modules
+    )
+    assert imported - own_modules <= PURE
 
 
 @pytest.mark.parametrize("name", MODULES)
 def test_the_decisions_draw_only_from_their_own_random_source(name: str) -> None:
-    """Only ``random.Random(seed)`` may be taken from ``random``: the functions there share one source."""
+    """Of ``random`` only ``random.Random(seed)`` may be used: its module functions share one source."""
     tree = ast.parse((ROOT / name).read_text())
-    drawn = [
+    attributes = [
         node.attr
         for node in ast.walk(tree)
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random"
     ]
-    assert set(drawn) <= {"Random"}
+    assert set(attributes) <= {"Random"}
 
 
 @pytest.mark.parametrize("name", MODULES)
-def test_each_decision_module_says_what_it_decides(name: str) -> None:
+def test_each_decision_module_has_a_docstring(name: str) -> None:
     assert ast.get_docstring(ast.parse((ROOT / name).read_text()))
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The four rules, each kept by one proxy alone, and odd input."""
+"""The invariants that each proxy must keep on its own, and invalid or late input."""
 
 from __future__ import annotations
 
@@ -43,68 +43,68 @@
 from arrowseam.balancer.settings import DeduplicationScope, Idempotency, RequestClass
 from arrowseam.errors import UsageError
 
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 FAILURES = [o for o in Outcome if o is not Outcome.OK]
 
 
-class World:
-    """Plays one proxy's requests and checks rules 1 to 3 on each of its actions."""
+class RandomScenario:
+    """Drives one balancer with random events and checks the invariants on each of its actions."""
 
-    def __init__(self, seed: int, effect: Idempotency, scope: DeduplicationScope) -> None:
+    def __init__(self, seed: int, idempotency: Idempotency, deduplication_scope: DeduplicationScope) -> None:
         self.rnd = random.Random(seed)
         request_class = RequestClass(
             latency_objective=300 * MS,
             deadline=2 * SECOND,
-            idempotency=effect,
-            deduplication_scope=scope,
+            idempotency=idempotency,
+            deduplication_scope=deduplication_scope,
             deduplication_window=SECOND,
         )
         self.request_class = request_class
         self.now = START
         self.balancer = Balancer(settings(classes=(request_class,)), seed=seed)
         self.states: dict[int, Endpoint] = {}
-        self.left: dict[int, int] = {}  # unanswered requests and their deadlines
-        self.over: set[int] = set()
-        self.pending: dict[int, tuple[StartAttempt, int, int]] = {}  # send, attempt, sent at
+        self.deadlines: dict[int, int] = {}  # of unanswered requests
+        self.answered: set[int] = set()
+        self.pending: dict[int, tuple[StartAttempt, int, int]] = {}  # action, attempt number, start time
         self.attempts: dict[int, int] = {}
-        self.ran: dict[int, tuple[int, int]] = {}
+        self.executed: dict[int, tuple[int, int]] = {}
         self.timers: list[tuple[int, int]] = []
 
     def step(self, events: list[Event]) -> None:
         for action in self.balancer.handle(self.now, events):
             match action:
                 case StartAttempt(request, endpoint, _):
-                    assert request in self.left
+                    assert request in self.deadlines
                     assert request not in self.pending
                     entry = self.states[endpoint]
                     assert entry.state is EndpointState.READY
                     attempt = self.attempts.get(request, 0)
                     assert attempt < 3
-                    if request in self.ran:
-                        self.check_repeat(request, entry)
+                    if request in self.executed:
+                        self.check_retry(request, entry)
                     self.attempts[request] = attempt + 1
                     self.pending[request] = (action, attempt, self.now)
                 case Reject(request):
-                    assert self.may_refuse(request)
+                    assert self.may_reject(request)
                     self.answer(request)
                 case Fail(request):
                     self.answer(request)
                 case SetTimer(delay, token):
                     self.timers.append((self.now + max(1, delay), token))
 
-    def may_refuse(self, request: int) -> bool:
-        if request not in self.ran or self.request_class.idempotency is Idempotency.IDEMPOTENT:
+    def may_reject(self, request: int) -> bool:
+        if request not in self.executed or self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
         return (
             self.request_class.idempotency is Idempotency.KEYED
             and self.request_class.deduplication_scope is DeduplicationScope.ALL
         )
 
-    def check_repeat(self, request: int, entry: Endpoint) -> None:
+    def check_retry(self, request: int, entry: Endpoint) -> None:
         if self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return
         assert self.request_class.idempotency is Idempotency.KEYED
-        endpoint, sent = self.ran[request]
+        endpoint, sent = self.executed[request]
         assert self.now < sent + self.request_class.deduplication_window
         first = self.states[endpoint]
         if self.request_class.deduplication_scope is DeduplicationScope.ZONE:
@@ -114,25 +114,25 @@
 
     def answer(self, request: int) -> None:
         assert request not in self.pending
-        assert self.now <= self.left.pop(request) + 10 * MS
-        self.over.add(request)
+        assert self.now <= self.deadlines.pop(request) + 10 * MS
+        self.answered.add(request)
 
     def end(self, request: int, outcome: Outcome) -> Event:
-        send, attempt, sent = self.pending.pop(request)
+        action, attempt, sent = self.pending.pop(request)
         if outcome is Outcome.OK:
             self.answer(request)
-        elif outcome not in NEVER_RAN and request not in self.ran:
-            self.ran[request] = (send.endpoint_id, sent)
-        final = request in self.over
-        return attempt_ended(send, outcome, attempt, elapsed=self.now - sent, is_final=final)
+        elif outcome not in NEVER_EXECUTED and request not in self.executed:
+            self.executed[request] = (action.endpoint_id, sent)
+        final = request in self.answered
+        return attempt_ended(action, outcome, attempt, elapsed=self.now - sent, is_final=final)
 
     def run(self, steps: int) -> None:
-        self.relist()
+        self.update_list()
         for n in range(steps):
             self.now += self.rnd.randrange(1, 6) * MS
             events: list[Event] = []
-            for request, (send, _, sent) in list(self.pending.items()):
-                wait = min(send.timeout or 10**9, self.left[request] - sent)
+            for request, (action, _, sent) in list(self.pending.items()):
+                wait = min(action.timeout or 10**9, self.deadlines[request] - sent)
                 if self.now >= sent + wait:
                     events.append(self.end(request, Outcome.TIMEOUT))
                 elif self.rnd.random() < 0.05:
@@ -141,16 +141,18 @@
             self.timers = [t for t in self.timers if t[0] > self.now]
             events += [TimerFired(token) for _, token in due]
             if self.rnd.random() < 0.1:
-                left = self.rnd.choice([0, 30, 300, 2000]) * MS
-                self.left[n] = self.now + left
-                events.append(arrival(n, time_left=left, flow_key=n))
+                time_left = self.rnd.choice([0, 30, 300, 2000]) * MS
+                self.deadlines[n] = self.now + time_left
+                events.append(arrival(n, time_left=time_left, flow_key=n))
             if self.rnd.random() < 0.01:
-                self.relist()
+                self.update_list()
             self.step(events)
-            for request, deadline in self.left.items():
-                assert request in self.pending or self.now <= deadline + 10 * MS, "a request was lost"
+            for request, deadline in self.deadlines.items():
+                assert request in self.pending or self.now <= deadline + 10 * MS, (
+                    "a request got no final answer by its deadline"
+                )
 
-    def relist(self) -> None:
+    def update_list(self) -> None:
         entries = tuple(
             Endpoint(
                 200 + n,
@@ -167,14 +169,19 @@
 
 
 @given(st.integers(0, 2**32), st.sampled_from(Idempotency), st.sampled_from(DeduplicationScope))
-def test_rules_hold_in_random_worlds(seed: int, effect: Idempotency, scope: DeduplicationScope) -> None:
-    World(seed, effect, scope).run(400)
+def test_invariants_hold_for_random_events(
+    seed: int, idempotency: Idempotency, deduplication_scope: DeduplicationScope
+) -> None:
+    RandomScenario(seed, idempotency, deduplication_scope).run(400)
 
 
 @given(st.lists(st.sampled_from(FAILURES), min_size=3, max_size=3), st.sampled_from(Idempotency))
-def test_each_request_gets_one_final_answer(outcomes: list[Outcome], effect: Idempotency) -> None:
+def test_each_request_gets_one_final_answer(outcomes: list[Outcome], idempotency: Idempotency) -> None:
     request_class = RequestClass(
-        latency_objective=300 * MS, deadline=2 * SECOND, idempotency=effect, deduplication_window=5 * SECOND
+        latency_objective=300 * MS,
+        deadline=2 * SECOND,
+        idempotency=idempotency,
+        deduplication_window=5 * SECOND,
     )
     clock = Clock(make_balancer(make_endpoints(5), classes=(request_class,)))
     actions = clock.step(arrival(1))
@@ -207,28 +214,28 @@
 
 @pytest.mark.parametrize("proxies", [1, 12, 200])
 def test_a_warming_endpoint_stays_within_its_limit_in_a_mass_reconnect(proxies: int) -> None:
-    """Guards against pushing over: all clients of a large tier return within a second of a restart."""
-    fleet, cold_for = 10, 3 * SECOND
-    capacity_rate = 2 * 40.0 / fleet  # an endpoint's connections a second, with the tier at half its capacity
+    """All clients of a large tier return within a second of a restart, but must not overload it."""
+    endpoint_count, cold_time = 10, 3 * SECOND
+    capacity_rate = 2 * 40.0 / endpoint_count  # per endpoint and second; the tier runs at half its capacity
     sent_cold = 0
     for n in range(proxies):
-        entries = make_endpoints(fleet)
+        entries = make_endpoints(endpoint_count)
         balancer = make_balancer(entries, seed=n, proxy_index=n, proxy_count=proxies)
         rnd = random.Random(n)
         now, request = START, 0
-        for _ in range(int(20 * 40 / proxies) + rnd.randrange(2)):  # 20 s of ordinary traffic first
+        for _ in range(int(20 * 40 / proxies) + rnd.randrange(2)):  # 20 s of usual traffic first
             now += int(20 * SECOND / max(1.0, 20 * 40 / proxies))
             request += 1
             balancer.handle(now, [arrival(request)])
-        began = START + 26 * SECOND
-        restart = Endpoint(100, started_at=began)
-        balancer.handle(began, [EndpointUpdate(UpdateKind.DELTA, 2, (restart,))])
+        restarted_at = START + 26 * SECOND
+        restart = Endpoint(100, started_at=restarted_at)
+        balancer.handle(restarted_at, [EndpointUpdate(UpdateKind.DELTA, 2, (restart,))])
         for k in range(int(2000 / proxies)):
             request += 1
-            at = began + int(k * SECOND / max(1, 2000 / proxies))
+            at = restarted_at + int(k * SECOND / max(1, 2000 / proxies))
             actions = balancer.handle(at, [arrival(request, is_reconnect=True)])
             sent_cold += sum(s.endpoint_id == 100 for s in attempts(actions))
-    warm = 0.2 * capacity_rate * cold_for / SECOND
+    warm = 0.2 * capacity_rate * cold_time / SECOND
     assert sent_cold <= 3.0 * warm + 2
 
 
@@ -254,22 +261,22 @@
 def test_a_sole_endpoint_is_tried_again_though_it_failed() -> None:
     clock = Clock(make_balancer(make_endpoints(1)))
     for n in range(3):
-        send = attempts(clock.step(arrival(n)))[0]
-        clock.step(attempt_ended(send, Outcome.CONNECT_FAILED), after=1)
+        action = attempts(clock.step(arrival(n)))[0]
+        clock.step(attempt_ended(action, Outcome.CONNECT_FAILED), after=1)
         clock.step(RequestAbandoned(n))
         clock.now += 10 * SECOND
 
 
 def test_late_events_of_an_ended_request_are_ignored() -> None:
     balancer = make_balancer(make_endpoints(1))
-    send = attempts(balancer.handle(START, [arrival(1)]))[0]
+    action = attempts(balancer.handle(START, [arrival(1)]))[0]
     balancer.handle(START, [RequestAbandoned(1)])
     late: list[Event] = [
         ConnectionEstablished(1, 0, 100, 5),
         LoadReported(1, 0, 100, 5.0),
         LatencyReported(1, 0, 100, 50.0),
         TimerFired(1),
-        attempt_ended(send, Outcome.TIMEOUT, is_final=True),
+        attempt_ended(action, Outcome.TIMEOUT, is_final=True),
         AttemptEnded(77, 0, 4242, Outcome.OK, is_final=True),
         HealthCheckEnded(4242, Outcome.OK),
     ]
@@ -277,20 +284,20 @@
 
 
 def test_a_failed_discovery_call_keeps_the_list_and_is_repeated() -> None:
-    """The discovery service fails: requests go on by the cached list, and the service is called again,
+    """The discovery service fails: requests are placed by the cached list, and the service is called again
     with backoff.
     """
     balancer = Balancer(settings(watch_discovery=True), seed=1)
-    (wake,) = balancer.handle(START, [EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, make_endpoints(2))])
+    (timer,) = balancer.handle(START, [EndpointUpdate(UpdateKind.CACHED_SNAPSHOT, 1, make_endpoints(2))])
     now = START
     for n in range(8):
-        assert isinstance(wake, SetTimer)
-        assert wake.delay < 10 * SECOND  # never deemed told of what it was not
-        now += wake.delay
-        assert balancer.handle(now, [TimerFired(wake.token)]) == [WatchEndpoints(True)]
+        assert isinstance(timer, SetTimer)
+        assert timer.delay < 10 * SECOND  # from then on the list would count as stale
+        now += timer.delay
+        assert balancer.handle(now, [TimerFired(timer.token)]) == [WatchEndpoints(True)]
         assert attempts(balancer.handle(now, [arrival(n)]))
         actions = balancer.handle(now, [EndpointUpdate(UpdateKind.FAILED)])
-        (wake,) = [a for a in actions if isinstance(a, SetTimer)]
+        (timer,) = [a for a in actions if isinstance(a, SetTimer)]
 
 
 def test_misuse_raises_usage_errors() -> None:
--- a/tests/test_random_events.py
+++ b/tests/test_random_events.py
@@ -1,7 +1,7 @@
-"""Drawn worlds: settings, endpoints and events at random, odd values among them; no round may raise.
+"""Random settings, endpoints and events, with extreme values among them: no call of the balancer may raise.
 
-A round that raises loses its events, its actions and with them its timers: requests that are queued then wait
-for their deadline.
+A call that raises loses its events and actions, timers included, so that queued requests wait until their
+deadline.
 """
 
 from __future__ import annotations
@@ -48,13 +48,13 @@
 )
 
 STEPS = 400
-WORLDS = 200
-ODD_NUMBERS = (0.0, -1.0, 1e-300, 1e300, float("inf"), float("-inf"), float("nan"))
+SCENARIOS = 200
+EXTREME_NUMBERS = (0.0, -1.0, 1e-300, 1e300, float("inf"), float("-inf"), float("nan"))
 REPORT_FIELDS = ((), ("x0",), ("x0", "inflight"), ("inflight", "x0"))
 
 
-class DrawnWorld:
-    """One balancer and what surrounds it, drawn from a seed; ``raised`` counts what its rounds raised."""
+class RandomScenario:
+    """A balancer and its environment, drawn from a seed; ``raised`` counts the exceptions of its calls."""
 
     def __init__(self, seed: int) -> None:
         self.rnd = random.Random(seed)
@@ -70,10 +70,10 @@
         self.health_checks: list[int] = []
         self.raised: Counter[str] = Counter()
 
-    # --- what is drawn ---
+    # --- drawing settings and events ---
 
-    def draw_number(self, *usual: float) -> float:
-        return self.rnd.choice(ODD_NUMBERS if self.rnd.random() < 0.05 else usual)
+    def draw_float(self, *typical: float) -> float:
+        return self.rnd.choice(EXTREME_NUMBERS if self.rnd.random() < 0.05 else typical)
 
     def draw_settings(self) -> Settings:
         rnd = self.rnd
@@ -148,11 +148,11 @@
         )
 
     def draw_report(self) -> tuple[float, ...]:
-        return tuple(self.draw_number(0.1, 0.7, 1.3, 5.0) for _ in range(self.rnd.randint(0, 2)))
+        return tuple(self.draw_float(0.1, 0.7, 1.3, 5.0) for _ in range(self.rnd.randint(0, 2)))
 
     def draw_event(self) -> Event | None:
         weights: dict[Callable[[], Event | None], int] = {
-            self._draw_arrival: 30, self._draw_connected: 25, self._draw_ended: 25, self._draw_load: 15,
+            self._draw_arrival: 30, self._draw_established: 25, self._draw_ended: 25, self._draw_load: 15,
             self._draw_latency: 15, self._draw_health_check: 6, self._draw_list: 4, self._draw_cordon: 2,
             self._draw_abandoned: 3, self._draw_aborted: 1, self._draw_settings: 1, self._draw_adopted: 1,
         }  # fmt: skip
@@ -160,18 +160,18 @@
         return draw()
 
     def _draw_arrival(self) -> Event:
-        arrived = self.draw_arrival()
-        self.queued.append(arrived.request_id)
-        return arrived
+        arrival = self.draw_arrival()
+        self.queued.append(arrival.request_id)
+        return arrival
 
     def _draw_adopted(self) -> Event | None:
         if not self.endpoints:
             return None
-        arrived, endpoint = self.draw_arrival(), self.rnd.choice(self.endpoints)
-        self.established[arrived.request_id] = 0, endpoint
-        return ConnectionAdopted(arrived, endpoint)
+        arrival, endpoint = self.draw_arrival(), self.rnd.choice(self.endpoints)
+        self.established[arrival.request_id] = 0, endpoint
+        return ConnectionAdopted(arrival, endpoint)
 
-    def _draw_connected(self) -> Event | None:
+    def _draw_established(self) -> Event | None:
         if not self.connecting:
             return None
         request = self.rnd.choice(list(self.connecting))
@@ -180,27 +180,27 @@
 
     def _draw_ended(self) -> Event | None:
         rnd = self.rnd
-        among = self.connecting if self.connecting and rnd.random() < 0.5 else self.established
-        if not among:
+        connections = self.connecting if self.connecting and rnd.random() < 0.5 else self.established
+        if not connections:
             return None
-        request = rnd.choice(list(among))
-        attempt, endpoint = among.pop(request)
-        outcome = rnd.choice([o for o in Outcome if among is self.established or o is not Outcome.OK])
+        request = rnd.choice(list(connections))
+        attempt, endpoint = connections.pop(request)
+        outcome = rnd.choice([o for o in Outcome if connections is self.established or o is not Outcome.OK])
         report = self.draw_report()
-        is_final = among is self.established or rnd.random() < 0.2
+        is_final = connections is self.established or rnd.random() < 0.2
         return AttemptEnded(request, attempt, endpoint, outcome, rnd.choice((0, SECOND)), is_final, report)
 
     def _draw_load(self) -> Event | None:
         if not self.established:
             return None
         request = self.rnd.choice(list(self.established))
-        return LoadReported(request, *self.established[request], self.draw_number(0.0, 0.1, 3.7, 40.0))
+        return LoadReported(request, *self.established[request], self.draw_float(0.0, 0.1, 3.7, 40.0))
 
     def _draw_latency(self) -> Event | None:
         if not self.established:
             return None
         request = self.rnd.choice(list(self.established))
-        return LatencyReported(request, *self.established[request], self.draw_number(0.0, 20.0, 90.0, 400.0))
+        return LatencyReported(request, *self.established[request], self.draw_float(0.0, 20.0, 90.0, 400.0))
 
     def _draw_health_check(self) -> Event | None:
         if not self.endpoints:
@@ -229,18 +229,18 @@
         return RequestAbandoned(request)
 
     def _draw_aborted(self) -> Event | None:
-        waiting = [*self.queued, *self.connecting]
-        return RequestAborted(self.rnd.choice(waiting)) if waiting else None
+        unanswered = [*self.queued, *self.connecting]
+        return RequestAborted(self.rnd.choice(unanswered)) if unanswered else None
 
     def _draw_settings(self) -> Event:
         settings = self.draw_settings()
-        known = len(self.balancer.settings.classes)
-        return SettingsUpdated(settings, tuple(self.rnd.randrange(-1, known) for _ in settings.classes))
+        class_count = len(self.balancer.settings.classes)
+        return SettingsUpdated(settings, tuple(self.rnd.randrange(-1, class_count) for _ in settings.classes))
 
-    # --- what is played ---
+    # --- running ---
 
-    def play(self, steps: int = STEPS) -> Counter[str]:
-        """Play the world; returns what its rounds raised, by type and place."""
+    def run(self, steps: int = STEPS) -> Counter[str]:
+        """Run the scenario; returns the exceptions raised, by type and function."""
         self.step([EndpointUpdate(UpdateKind.SNAPSHOT, 1, tuple(map(self.draw_endpoint, self.endpoints)))])
         for _ in range(steps):
             self.now += self.rnd.choice((0, 0, MS, 40 * MS, 500 * MS, 3 * SECOND))
@@ -252,17 +252,17 @@
         return self.raised
 
     def step(self, events: list[Event]) -> None:
-        for event in events:  # one by one, as the driver passes them
+        for event in events:  # one at a time, as the driver passes them
             try:
                 actions = self.balancer.handle(self.now, [event])
-            except Exception as error:  # noqa: BLE001 - counted, whatever it is
+            except Exception as error:  # noqa: BLE001 - every exception is counted
                 place = traceback.extract_tb(error.__traceback__)[-1]
                 self.raised[f"{type(error).__name__} in {place.filename.rsplit('/')[-1]}:{place.name}"] += 1
                 continue
             for action in actions:
-                self.take(action)
+                self.apply(action)
 
-    def take(self, action: Action) -> None:
+    def apply(self, action: Action) -> None:
         match action:
             case StartAttempt(request, endpoint, _):
                 self._forget(request)
@@ -285,7 +285,11 @@
         self.established.pop(request, None)
 
 
-@pytest.mark.parametrize("first", range(0, WORLDS, WORLDS // 4))
-def test_no_round_of_a_drawn_world_raises(first: int) -> None:
-    raised = {seed: found for seed in range(first, first + WORLDS // 4) if (found := DrawnWorld(seed).play())}
+@pytest.mark.parametrize("first", range(0, SCENARIOS, SCENARIOS // 4))
+def test_no_random_event_raises(first: int) -> None:
+    raised = {
+        seed: exceptions
+        for seed in range(first, first + SCENARIOS // 4)
+        if (exceptions := RandomScenario(seed).run())
+    }
     assert raised == {}
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""The weighted random order: its weights and the distribution of its draws."""
+"""Selection by weighted random order: shares, the distribution of draws, and rebuilding of large lists."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from arrowseam.balancer.weights import ONE, scaled_weight, two_stage_shares
 
 
-@pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1.0])
-def test_a_weight_that_says_nothing_counts_as_one(odd: float) -> None:
-    assert scaled_weight(odd) == scaled_weight(1.0)
+@pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0])
+def test_an_invalid_weight_counts_as_one(invalid: float) -> None:
+    assert scaled_weight(invalid) == scaled_weight(1.0)
 
 
 def test_a_zero_weight_stays_positive() -> None:
@@ -38,10 +38,10 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(1, 2**32 - 1)), min_size=1, max_size=50))
-def test_shares_are_positive_and_sum_to_at_most_one(servers: list[tuple[int, int]]) -> None:
-    shares = two_stage_shares(servers)
+def test_shares_are_positive_and_sum_to_at_most_one(endpoints: list[tuple[int, int]]) -> None:
+    shares = two_stage_shares(endpoints)
     assert all(share >= 1 for share in shares)
-    assert sum(shares) <= ONE + len(servers)
+    assert sum(shares) <= ONE + len(endpoints)
 
 
 def full_sort(shares: list[int], rnd: random.Random) -> list[int]:
@@ -49,25 +49,25 @@
     return [n for _, n in sorted(keys, reverse=True)]
 
 
-def test_drawing_head_and_next_is_distributed_as_the_full_sort() -> None:
-    """First and second place of 4 unequal endpoints, by fallback after a refusal and by sorting keys."""
+def test_first_and_second_draw_are_distributed_as_the_full_sort() -> None:
+    """First and second of 4 endpoints of unequal weight: by drawing and retrying, and by sorting all keys."""
     weights = [1.0, 2.0, 3.0, 6.0]
     entries = tuple(Endpoint(100 + n, zone=n % 2, weight=w) for n, w in enumerate(weights))
     drawn: Counter[tuple[int, int]] = Counter()
-    rounds = 12_000
-    for n in range(rounds):
+    trials = 12_000
+    for n in range(trials):
         balancer = make_balancer(entries, seed=n)
         first = attempts(balancer.handle(START, [arrival(1)]))[0]
         second = attempts(balancer.handle(START, [attempt_ended(first, Outcome.REJECTED)]))[0]
         drawn[first.endpoint_id - 100, second.endpoint_id - 100] += 1
     shares = two_stage_shares([(n % 2, scaled_weight(w)) for n, w in enumerate(weights)])
     rnd = random.Random(7)
-    sort: Counter[tuple[int, int]] = Counter()
-    for _ in range(rounds):
+    sorted_pairs: Counter[tuple[int, int]] = Counter()
+    for _ in range(trials):
         order = full_sort(shares, rnd)
-        sort[order[0], order[1]] += 1
-    for pair in {*drawn, *sort}:
-        a, b = drawn[pair], sort[pair]
+        sorted_pairs[order[0], order[1]] += 1
+    for pair in {*drawn, *sorted_pairs}:
+        a, b = drawn[pair], sorted_pairs[pair]
         assert abs(a - b) < 4.5 * math.sqrt(a + b + 1), pair
 
 
@@ -76,15 +76,15 @@
     balancer = make_balancer(entries)
     counts: Counter[int] = Counter()
     for n in range(10_000):
-        send = attempts(balancer.handle(START, [arrival(n)]))[0]
+        attempt = attempts(balancer.handle(START, [arrival(n)]))[0]
         balancer.handle(
             START,
             [
-                ConnectionEstablished(n, 0, send.endpoint_id, 1),
-                attempt_ended(send, Outcome.OK, is_final=True),
+                ConnectionEstablished(n, 0, attempt.endpoint_id, 1),
+                attempt_ended(attempt, Outcome.OK, is_final=True),
             ],
         )
-        counts[send.endpoint_id - 100] += 1
+        counts[attempt.endpoint_id - 100] += 1
     for n in range(4):
         assert counts[n] == pytest.approx(1000 * (n + 1), abs=200)
 
@@ -98,41 +98,43 @@
     assert run(3) != run(4)
 
 
-# --- large fleets ----------------------------------------------------------------------------------------
+# --- large endpoint lists --------------------------------------------------------------------------------
 
 
-def large(count: int = 3000) -> tuple[Clock, tuple[Endpoint, ...]]:
+def make_large_list(count: int = 3000) -> tuple[Clock, tuple[Endpoint, ...]]:
     entries = tuple(Endpoint(endpoint_id=100 + n, zone=n % 4, weight=1.0 + n % 5) for n in range(count))
     return Clock(make_balancer(entries, reports_latency=False)), entries
 
 
 def test_shares_rebuilt_in_chunks_are_those_rebuilt_at_once():
-    clock, entries = large()
-    clock.step(arrival(1))  # the first time there is nothing to go by meanwhile
+    clock, entries = make_large_list()
+    clock.step(arrival(1))  # the first rebuild is not in chunks, as there are no shares yet
     changed = [replace(e, weight=e.weight + 1.0) for e in entries]
     for at in range(0, 3000, 200):
-        news = EndpointUpdate(UpdateKind.SECONDARY_DELTA, 0, tuple(changed[at : at + 200]), at + 200 < 3000)
-        clock.step(news)
+        update = EndpointUpdate(UpdateKind.SECONDARY_DELTA, 0, tuple(changed[at : at + 200]), at + 200 < 3000)
+        clock.step(update)
     before = [s.share for s in clock.balancer.shares.ready]
     clock.step(arrival(2))
-    assert [s.share for s in clock.balancer.shares.ready] == before  # no event waits for all of it
+    assert [s.share for s in clock.balancer.shares.ready] == before  # no event waits for the whole rebuild
     clock.wait(10 * MS)
     assert not clock.balancer.shares.rebuilding
     assert not clock.balancer.shares.outdated
-    wanted = two_stage_shares([(e.zone, scaled_weight(e.weight)) for e in changed])
-    assert [s.share for s in clock.balancer.shares.ready] == wanted
+    expected = two_stage_shares([(e.zone, scaled_weight(e.weight)) for e in changed])
+    assert [s.share for s in clock.balancer.shares.ready] == expected
 
 
 def test_endpoints_that_leave_a_large_list_get_nothing_while_shares_are_rebuilt():
     """The shares of thousands of endpoints are rebuilt in chunks. Endpoints that drain meanwhile must not
-    be sent anything by the old shares.
+    be sent attempts by the old shares.
     """
-    clock, entries = large()
+    clock, entries = make_large_list()
     clock.step(arrival(1))
-    kept = {e.endpoint_id for e in entries[::100]}
-    out = tuple(replace(e, state=EndpointState.DRAINING) for e in entries if e.endpoint_id not in kept)
-    clock.step(EndpointUpdate(UpdateKind.SECONDARY_DELTA, 0, out, True))
-    sent = [send.endpoint_id for n in range(2, 60) for send in attempts(clock.step(arrival(n)))]
+    kept_ids = {e.endpoint_id for e in entries[::100]}
+    draining = tuple(
+        replace(e, state=EndpointState.DRAINING) for e in entries if e.endpoint_id not in kept_ids
+    )
+    clock.step(EndpointUpdate(UpdateKind.SECONDARY_DELTA, 0, draining, True))
+    sent = [attempt.endpoint_id for n in range(2, 60) for attempt in attempts(clock.step(arrival(n)))]
     assert len(sent) == 58
-    assert set(sent) <= kept
-    assert clock.balancer.shares.rebuilding  # nothing of this waited for it
+    assert set(sent) <= kept_ids
+    assert clock.balancer.shares.rebuilding  # the draws did not wait for the rebuild
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess: framing, codec, malformed input."""
+"""The simulator adapter as a subprocess: framing, codec, malformed input."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
     return (struct.pack(">HI", code, instance) + body).ljust(48, b"\0")
 
 
-def up(instance: int, settings: bytes, at: int = 0) -> bytes:
-    return record(258, instance, struct.pack(">QII", 7, at, len(settings)))
+def instance_started(instance: int, encoded_settings: bytes, at: int = 0) -> bytes:
+    return record(258, instance, struct.pack(">QII", 7, at, len(encoded_settings)))
 
 
 def batch(number: int, now: int, records: list[bytes], tail: bytes = b"") -> bytes:
@@ -57,12 +57,12 @@
 
 
 def start(settings: bytes | None = None) -> bytes:
-    env = json.dumps(SETTINGS).encode() if settings is None else settings
-    listing = record(256, 3, struct.pack(">IBII", 1, 2, len(env), 1))
-    return batch(2, 1000, [up(3, env), listing], env + entry())
+    encoded_settings = json.dumps(SETTINGS).encode() if settings is None else settings
+    list_update = record(256, 3, struct.pack(">IBII", 1, 2, len(encoded_settings), 1))
+    return batch(2, 1000, [instance_started(3, encoded_settings), list_update], encoded_settings + entry())
 
 
-def demand(request: int = 0x5D3A91C4) -> bytes:
+def request_arrived(request: int = 0x5D3A91C4) -> bytes:
     body = struct.pack(">IHHQIIQH", request, 0, 0, 5, 240000, 12000, 0, 1)
     return record(259, 3, body)
 
@@ -79,7 +79,7 @@
 
 
 def test_a_request_is_sent_to_the_listed_endpoint() -> None:
-    done = run(start() + batch(3, 2000, [demand()]))
+    done = run(start() + batch(3, 2000, [request_arrived()]))
     assert done.returncode == 0, done.stderr
     replies = done.stdout[12:]
     number, size, count = struct.unpack_from(">III", replies)
@@ -87,17 +87,18 @@
     assert struct.unpack_from(">HII6s", replies, 12) == (256, 3, 0x5D3A91C4, ADDRESS)
 
 
-def test_stop_then_up_in_one_batch_starts_afresh() -> None:
-    env = json.dumps(SETTINGS).encode()
-    again = batch(3, 3000, [record(263, 3), up(3, env)], env)
-    done = run(start() + again + batch(4, 4000, [demand()]))
+def test_stop_and_start_in_one_batch_give_a_new_balancer() -> None:
+    encoded_settings = json.dumps(SETTINGS).encode()
+    restart = batch(3, 3000, [record(263, 3), instance_started(3, encoded_settings)], encoded_settings)
+    done = run(start() + restart + batch(4, 4000, [request_arrived()]))
     assert done.returncode == 0
     assert struct.unpack_from(">HI", done.stdout, 36 + 0)[0] != 263
-    assert struct.unpack_from(">H", done.stdout, len(done.stdout) - 24)[0] == 264  # held: it has no list
+    # The request is queued, since the new balancer has no list.
+    assert struct.unpack_from(">H", done.stdout, len(done.stdout) - 24)[0] == 264
 
 
-def test_a_fault_of_the_module_is_reported_for_its_instance() -> None:
-    done = run(start() + batch(3, 2000, [demand(), demand()]))  # the same id twice
+def test_an_exception_of_a_balancer_is_reported_for_its_instance() -> None:
+    done = run(start() + batch(3, 2000, [request_arrived(), request_arrived()]))  # the same id twice
     assert done.returncode == 0
     code, instance = struct.unpack_from(">HI", done.stdout, 24)
     assert (code, instance) == (263, 3)
@@ -105,7 +106,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "word"),
+    ("data", "message"),
     [
         (b"\0\0\0", b"batch header"),
         (struct.pack(">IIIQ", 1, 48, 1, 0) + b"\0" * 10, b"inside a batch"),
@@ -122,11 +123,11 @@
         (batch(1, 0, [record(256, 1, struct.pack(">IBII", 1, 9, 0, 0))]), b"endpoint update kind 9"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data: bytes, word: bytes) -> None:
+def test_malformed_input_ends_with_one_error_line(data: bytes, message: bytes) -> None:
     done = run(data)
     assert done.returncode == 1
     assert done.stdout == b""
-    assert word in done.stderr
+    assert message in done.stderr
     assert done.stderr.count(b"\n") == 1
 
 
@@ -136,14 +137,14 @@
     st.binary(min_size=6, max_size=6),
     st.integers(0, 2**16 - 1),
 )
-def test_ended_round_trip(handle: int, trial: int, raw: bytes, code: int) -> None:
-    body = struct.pack(">IB6sHIBB4f", handle, trial, raw, code, 9, 1, 2, 0.5, 0.25, 0, 0)
+def test_attempt_ended_is_decoded(request_id: int, attempt_number: int, address: bytes, code: int) -> None:
+    body = struct.pack(">IB6sHIBB4f", request_id, attempt_number, address, code, 9, 1, 2, 0.5, 0.25, 0, 0)
     event = decode_event(266, memoryview(record(266, 1, body)), 0, memoryview(b""))
     assert isinstance(event, AttemptEnded)
     assert (event.request_id, event.attempt_number, event.endpoint_id.to_bytes(6, "big")) == (
-        handle,
-        trial,
-        raw,
+        request_id,
+        attempt_number,
+        address,
     )
     assert event.outcome is OUTCOMES.get(code, Outcome.UNKNOWN)
     assert event.is_final
