--- a/arrowseam/balancer/balancer.py
+++ b/arrowseam/balancer/balancer.py
@@ -171,9 +171,8 @@
             self._rebalanced_at = now
             self._rebalance()
         if not self._migration_timer_set and self.rebalancer.has_leaving():
-            self._migration_timer_set = (
-                True  # idle connections cause no events that would trigger their migration
-            )
+            # Idle connections cause no events that would trigger their migration.
+            self._migration_timer_set = True
             self.actions.append(SetTimer(REBALANCE_INTERVAL, MIGRATION_TIMER))
         return self.actions
 
--- a/arrowseam/balancer/discovery.py
+++ b/arrowseam/balancer/discovery.py
@@ -8,7 +8,7 @@
 from arrowseam.balancer.units import SECOND
 
 FIRST_BACKOFF = SECOND // 2  # doubled with each failure
-# An update counts as notified 6 s after the service has it, and a call may take most of that time.
+# An update counts as notified 6 s after the service has it; a call may take most of the rest of this time.
 MAX_BACKOFF = 2 * SECOND
 MAX_FAILURES = 4  # counted; the backoff reaches its maximum before
 
--- a/arrowseam/balancer/events.py
+++ b/arrowseam/balancer/events.py
@@ -36,7 +36,7 @@
 
 
 class UpdateKind(IntEnum):
-    """What an ``EndpointUpdate`` holds."""
+    """Kinds of ``EndpointUpdate``."""
 
     DELTA = 0  # only the endpoints that changed
     SNAPSHOT = 1  # the complete list
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client asks for a connection; one final answer is owed within ``time_left``.
+    """A client asks for a connection; one final answer is due within ``time_left``.
 
     Attributes:
         class_index: position of its class in the settings; -1 if ``request_class`` is given.
--- a/arrowseam/balancer/health_checks.py
+++ b/arrowseam/balancer/health_checks.py
@@ -13,7 +13,7 @@
 MAX_SAVED_CHECKS = 4.0  # health checks that may accumulate, for each endpoint of the list
 CHECK_INTERVAL = 5 * SECOND // 2  # an endpoint is not checked again sooner
 REPORT_LIFETIME = 4 * SECOND  # an older report is ignored
-UTILIZATION_GAIN = 0.2  # of the average of ``utilization_per_connection``: endpoints and loads differ
+UTILIZATION_GAIN = 0.2  # weight of one report in ``utilization_per_connection``: endpoints and loads differ
 UTILIZATION_FIELD, IN_FLIGHT_FIELD = "x0", "inflight"  # names of fields in a load report
 
 
--- a/arrowseam/balancer/load_shedding.py
+++ b/arrowseam/balancer/load_shedding.py
@@ -15,7 +15,7 @@
 REDUCTION_FRACTION = 0.15  # of the limit, at most once per REDUCTION_INTERVAL
 REDUCTION_INTERVAL = SECOND
 RECENT_INTERVALS = 3  # after this many without one, a reduction starts again from the current load
-REACHED_FRACTION = 0.8  # of the limit: with less load, endpoints shed already; time helps, a lower limit not
+REACHED_FRACTION = 0.8  # of the limit; below, endpoints have shed load and need time, not a lower limit
 # The limit recovers fast while it is far below ``load_at_overload``, then slowly, as in TCP CUBIC.
 RECOVERY_RATE = 0.2  # a second, of the difference between ``load_at_overload`` and the limit
 PROBING_RATE = 0.03  # a second, of ``load_at_overload``, in addition
--- a/arrowseam/balancer/requests.py
+++ b/arrowseam/balancer/requests.py
@@ -7,7 +7,7 @@
 from arrowseam.balancer.settings import RequestClass, Settings
 from arrowseam.errors import UsageError
 
-LOAD_GAIN = 0.05  # of the average of a class's reported loads
+LOAD_GAIN = 0.05  # weight of one report in the mean load of a class
 MAX_LOAD = 1e9  # of one connection, microseconds of work a second: more than any machine can do
 
 
@@ -38,7 +38,7 @@
         established_at: since when.
         error_count: endpoints that answered with an error.
         is_returning: the client's connection broke or was migrated, or the client marked this as a retry.
-        is_new: it is not returning, and no endpoint has been drawn for it yet.
+        is_new: it is not returning, and selection has not been tried for it yet.
         executed_on: endpoint of the first attempt that may have run.
         executed_at: when that attempt was started.
         load: reported load, else the mean of its class, else 1: with 0, rules that use the load would have
--- a/arrowseam/balancer/retries.py
+++ b/arrowseam/balancer/retries.py
@@ -87,7 +87,7 @@
 
 
 def retry_after(limits: Limits, random: Callable[[], float]) -> int:
-    """Return a random delay after which a rejected client may retry, microseconds."""
+    """Return when a rejected client may retry, microseconds; random, so that not all retry at once."""
     if not limits.retry_after_allowed:
         return 0
     return int(min(limits.max_retry_after, RETRY_AFTER_BASE) * (0.1 + 0.4 * random()))
--- a/arrowseam/balancer/settings.py
+++ b/arrowseam/balancer/settings.py
@@ -33,13 +33,13 @@
     """A class of requests with its objectives and what a retry of it may do.
 
     Attributes:
-        latency_objective: time within which a connection should be set up.
+        latency_objective: a connection that is set up within this time counts with its full weight.
         deadline: time from the client's opening message until the final answer is due.
         priority_weight: value of a served request relative to other classes; no unit.
         idempotency: the effect of a retry.
         deduplication_scope: for keyed classes, which endpoints recognise a retry.
         deduplication_window: for keyed classes, how long after the first attempt they recognise it.
-        message_latency_objective: the latency objective of a message on an open connection; 0 = none.
+        message_latency_objective: the same for a message on an open connection; 0 = none stated.
     """
 
     latency_objective: int
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Costs relative to the value of a request that is served at its first attempt.
+    """Costs as parts of the value of a request served at its first attempt, per unit and first attempt.
 
     Attributes:
         cross_zone: a connection to an endpoint of another zone.
--- a/arrowseam/simulator/instances.py
+++ b/arrowseam/simulator/instances.py
@@ -62,9 +62,7 @@
             return  # events of an instance that is not running are ignored
         try:
             actions = balancer.handle(now, events)
-        except (
-            Exception
-        ) as error:  # the simulator counts faults of the balancer, so every exception is reported
+        except Exception as error:  # all are reported, since the simulator counts faults of the balancer
             reply.add_fault(instance, f"{type(error).__name__}: {error}")
             print(f"simulator: instance {instance}: {error!r}", file=sys.stderr)
             return
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -206,7 +206,7 @@
     assert chosen == {101}
 
 
-def test_an_endpoint_missing_from_a_full_list_is_gone() -> None:
+def test_an_endpoint_missing_from_a_complete_list_is_removed() -> None:
     balancer = make_balancer(make_endpoints(2))
     balancer.handle(START, [snapshot(make_endpoints(1))])
     assert {attempts(balancer.handle(START, [arrival(n)]))[0].endpoint_id for n in range(50)} == {100}
@@ -258,7 +258,7 @@
     assert final_answers(make_balancer(make_endpoints(2)).handle(START, [arrival(1, time_left=0)]))
 
 
-def test_a_sole_endpoint_is_tried_again_though_it_failed() -> None:
+def test_a_sole_endpoint_is_tried_again_after_a_failure() -> None:
     clock = Clock(make_balancer(make_endpoints(1)))
     for n in range(3):
         action = attempts(clock.step(arrival(n)))[0]
