--- a/arrowseam/consensus/__init__.py
+++ b/arrowseam/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus among a few proxies: a replicated log (Raft), its messages and its storage."""
+"""Raft consensus among a few proxies: the replicated log, its messages and its storage."""
--- a/arrowseam/consensus/effects.py
+++ b/arrowseam/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a Raft node asks of its runtime: messages to send, records to store, entries to apply."""
+"""Effects that a Raft node returns to its runtime: messages to send, records to store, entries to apply."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send a message to the voter of this name; it may be lost."""
+    """Send a message to the voter of this name; delivery is not guaranteed."""
 
     to: str
     message: RaftMessage
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Commit:
-    """Apply this entry to the replicated state; indices come without gaps."""
+    """Apply this committed entry to the replicated state; indices follow each other without gaps."""
 
     index: int
     entry: Entry
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Restore:
-    """Replace the replicated state by this one, as of an index."""
+    """Replace the replicated state by this one, which includes all entries up to ``index``."""
 
     index: int
     state: bytes
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class RoleChanged:
-    """The role, the known leader or the voters have changed."""
+    """The role, the known leader or the voter configuration has changed."""
 
 
 Effect: TypeAlias = Send | Persist | Commit | Restore | RoleChanged
--- a/arrowseam/consensus/framing.py
+++ b/arrowseam/consensus/framing.py
@@ -1,4 +1,4 @@
-"""The frame around each message between proxies: a magic word, a checksum, then the body."""
+"""Framing of the messages between proxies: magic bytes, the CRC-32 of the body, the body."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from arrowseam.errors import ArrowseamError
 
 MAGIC = b"aA1"
-HEADER_SIZE = len(MAGIC) + 4  # the magic word and a CRC-32
-DATAGRAM_MAX = 1400  # bytes; a longer frame goes over a stream
+HEADER_SIZE = len(MAGIC) + 4  # magic bytes and CRC-32
+DATAGRAM_MAX = 1400  # bytes; longer frames are sent over a stream
 
 
 class FrameError(ArrowseamError, ValueError):
-    """A frame that cannot be read; the text says why in a few words."""
+    """A frame that cannot be decoded; the message gives the reason."""
 
 
 def wrap_frame(body: bytes) -> bytes:
-    """The frame of a body."""
+    """Put the frame header in front of a message body."""
     return MAGIC + zlib.crc32(body).to_bytes(4, "big") + body
 
 
 def unwrap_frame(frame: bytes) -> bytes:
-    """The body of a frame; raises FrameError where it is foreign, cut or corrupted."""
+    """Return the body of a frame; raises FrameError if the magic bytes or the checksum do not match."""
     if frame[: len(MAGIC)] != MAGIC:
-        raise FrameError("not of this protocol")
+        raise FrameError("magic bytes do not match")
     body = frame[HEADER_SIZE:]
     if zlib.crc32(body) != int.from_bytes(frame[len(MAGIC) : HEADER_SIZE], "big"):
-        raise FrameError("cut or corrupted")
+        raise FrameError("checksum does not match: truncated or corrupted")
     return body
--- a/arrowseam/consensus/log.py
+++ b/arrowseam/consensus/log.py
@@ -1,14 +1,14 @@
-"""The replicated log of one voter in memory: a snapshot, the entries after it, the configurations in them."""
+"""The replicated log of one voter in memory: a snapshot, later entries and their voter configurations."""
 
 from __future__ import annotations
 
 from arrowseam.consensus.messages import Entry, EntryKind, Snapshot, Voter, decode_voters
 
-ENTRY_OVERHEAD = 16  # bytes that an entry takes in a message beside its data
+ENTRY_OVERHEAD_BYTES = 16  # bytes that an entry takes in a message in addition to its data
 
 
 class ReplicatedLog:
-    """Entries are numbered from 1; the snapshot stands for those up to its index."""
+    """Entries are numbered from 1; the snapshot replaces those up to its index."""
 
     __slots__ = ("configurations", "entries", "snapshot")
 
@@ -16,13 +16,13 @@
         self.replace_all(snapshot, entries)
 
     def replace_all(self, snapshot: Snapshot, entries: list[Entry]) -> None:
-        """Hold this snapshot and these entries after it, and nothing else."""
+        """Replace the whole content by this snapshot and the entries that follow it."""
         self.snapshot, self.entries = snapshot, entries
         self.configurations = [(snapshot.index, snapshot.voters)]
         self._add_configurations(snapshot.index + 1, entries)
 
     def copy(self) -> ReplicatedLog:
-        """Another log with the same content."""
+        """Return an independent copy of the log."""
         return ReplicatedLog(self.snapshot, self.entries.copy())
 
     def _add_configurations(self, index: int, entries: list[Entry]) -> None:
@@ -41,18 +41,18 @@
         return self.term_at(self.last_index)
 
     def term_at(self, index: int) -> int:
-        """Term of the entry at an index, which is the snapshot's or a later one."""
+        """Term of the entry at ``index``, which must not be before the snapshot's index."""
         if index == self.snapshot.index:
             return self.snapshot.term
         return self.entries[index - self.snapshot.index - 1].term
 
     def entry_at(self, index: int) -> Entry:
-        """The entry at an index after the snapshot's."""
+        """The entry at ``index``, which must be after the snapshot's index."""
         return self.entries[index - self.snapshot.index - 1]
 
     @property
     def voters(self) -> tuple[Voter, ...]:
-        """The configuration in force: the last one in the log, committed or not (Ongaro 2014, 4.1)."""
+        """The configuration in force: the latest in the log, committed or not (Ongaro 2014, 4.1)."""
         return self.configurations[-1][1]
 
     @property
@@ -61,11 +61,11 @@
         return self.configurations[-1][0]
 
     def voters_at(self, index: int) -> tuple[Voter, ...]:
-        """The configuration that was in force as of an index."""
-        return next(voters for at, voters in reversed(self.configurations) if at <= index)
+        """The configuration that was in force at ``index``."""
+        return next(voters for set_at, voters in reversed(self.configurations) if set_at <= index)
 
     def replace_from(self, index: int, entries: list[Entry]) -> None:
-        """These entries from an index on, in place of those that are there."""
+        """Replace all entries from ``index`` on by these."""
         del self.entries[index - self.snapshot.index - 1 :]
         self.entries += entries
         while self.configurations[-1][0] >= index:
@@ -73,16 +73,16 @@
         self._add_configurations(index, entries)
 
     def compact(self, index: int, state: bytes) -> None:
-        """Let a snapshot with this replicated state stand for all entries up to an index."""
+        """Replace all entries up to ``index`` by a snapshot with this replicated state."""
         snapshot = Snapshot(index, self.term_at(index), self.voters_at(index), state)
         self.replace_all(snapshot, self.entries[index - self.snapshot.index :])
 
-    def entries_after(self, index: int, most_bytes: int) -> list[Entry]:
-        """The entries that follow an index, one at least if there is one, up to a size."""
-        found, size = list[Entry](), 0
+    def entries_after(self, index: int, max_bytes: int) -> list[Entry]:
+        """The entries after ``index``, up to ``max_bytes`` in total, but at least one if there is any."""
+        selected, size = list[Entry](), 0
         for entry in self.entries[index - self.snapshot.index :]:
-            if found and size + len(entry.data) > most_bytes:
+            if selected and size + len(entry.data) > max_bytes:
                 break
-            found.append(entry)
-            size += len(entry.data) + ENTRY_OVERHEAD
-        return found
+            selected.append(entry)
+            size += len(entry.data) + ENTRY_OVERHEAD_BYTES
+        return selected
--- a/arrowseam/consensus/messages.py
+++ b/arrowseam/consensus/messages.py
@@ -1,7 +1,7 @@
-"""What voters send to each other and store: MessagePack arrays.
+"""Messages between voters and their stored records, encoded as MessagePack arrays.
 
-The order of fields and the tags are the wire and file format; names are free to change. A later version may
-add fields at the end of an array: decoders pass over them.
+The order of fields and the tags define the wire and file format; names may change. A later version may append
+fields to an array: decoders ignore them.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 
 class WireStruct(msgspec.Struct, array_like=True, frozen=True):
-    """The base of all messages and records."""
+    """Base class of all messages and stored records."""
 
 
 class Voter(WireStruct, frozen=True, order=True):
-    """A proxy with the state that it has stored: whoever has lost that state is another voter."""
+    """A proxy and the identity of its stored state: a proxy that has lost this state is a different voter."""
 
     name: Name
-    nonce: Number  # drawn at random when the state begins
+    nonce: Number  # random, drawn when the state is created
 
 
 class Epoch(WireStruct, frozen=True, order=True):
-    """One history of the log. The larger one holds: an operator has begun it in place of those before."""
+    """One history of the log. The larger epoch wins: an operator began it to replace those before."""
 
     number: Number = 0
-    nonce: Number = 0  # tells two apart that were begun at once
+    nonce: Number = 0  # distinguishes two epochs that were begun at the same time
 
 
 class EntryKind(IntEnum):
-    """What the data of an entry is. A later version may add kinds, so that an entry holds a bare number."""
+    """Type of an entry's data. A later version may add kinds, so ``Entry.kind`` is a plain number."""
 
     NOOP = 0  # the first entry of a leader's term
     VOTERS = 1  # a configuration: the list of voters
@@ -49,7 +49,7 @@
 
 
 class Snapshot(WireStruct, frozen=True):
-    """Stands for all entries up to ``index``, which is of ``term``."""
+    """Replaces all entries up to ``index``; the entry at ``index`` was of ``term``."""
 
     index: Number = 0
     term: Number = 0
@@ -61,7 +61,7 @@
 
 
 class HardState(WireStruct, frozen=True, tag=1):
-    """What a voter must not forget between two answers."""
+    """What a voter must have stored before it answers: its epoch, identity, term and vote."""
 
     epoch: Epoch
     voter: Voter
@@ -70,14 +70,14 @@
 
 
 class AppendedEntries(WireStruct, frozen=True, tag=2):
-    """Entries from ``index`` on, in place of those that were there."""
+    """Entries from ``index`` on; they replace any entries stored from there on."""
 
     index: Number
     entries: list[Entry]
 
 
 class Checkpoint(WireStruct, frozen=True, tag=3):
-    """The whole state, in place of all records before."""
+    """The complete state; it replaces all earlier records."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -91,7 +91,7 @@
 
 
 class RequestVote(WireStruct, frozen=True, tag=10):
-    """Asks for a vote, or in a pre-vote whether one would be given, which binds nobody."""
+    """Asks for a vote; a pre-vote only asks whether it would be granted, and binds nobody."""
 
     epoch: Epoch
     term: Number
@@ -102,7 +102,7 @@
 
 
 class RequestVoteReply(WireStruct, frozen=True, tag=11):
-    """The answer; not granted, it also tells a sender of an older epoch or term of the newer one."""
+    """The reply; a refusal also tells a sender with an older epoch or term the newer one."""
 
     epoch: Epoch
     term: Number
@@ -112,7 +112,7 @@
 
 
 class AppendEntries(WireStruct, frozen=True, tag=12):
-    """The entries after ``prev_index``; without entries a heartbeat."""
+    """The entries after ``prev_index``; a heartbeat if there are none."""
 
     epoch: Epoch
     term: Number
@@ -124,17 +124,17 @@
 
 
 class AppendEntriesReply(WireStruct, frozen=True, tag=13):
-    """The answer to entries and to a snapshot."""
+    """The reply to ``AppendEntries`` and to ``InstallSnapshot``."""
 
     epoch: Epoch
     term: Number
     sender: Voter
     success: bool
-    match_index: Number  # up to there the logs are equal; without success, after which index to try next
+    match_index: Number  # the logs match up to here; without success, the index after which to retry
 
 
 class InstallSnapshot(WireStruct, frozen=True, tag=14):
-    """The leader's snapshot, for a log that misses entries which the leader holds no more."""
+    """The leader's snapshot, for a log that lacks entries which the leader has already compacted."""
 
     epoch: Epoch
     term: Number
@@ -143,7 +143,7 @@
 
 
 class JoinRequest(WireStruct, frozen=True, tag=15):
-    """From a process that is configured as a voter and is in no configuration that it knows."""
+    """Sent by a process that operators list as a voter and that is in no voter configuration it knows of."""
 
     epoch: Epoch
     term: Number
@@ -159,10 +159,10 @@
 
 
 def encode_voters(voters: tuple[Voter, ...]) -> bytes:
-    """The data of an entry that sets a configuration."""
+    """Encode a configuration as the data of an entry of kind ``VOTERS``."""
     return encoder.encode(voters)
 
 
 def decode_voters(entry: Entry) -> tuple[Voter, ...]:
-    """The configuration that an entry of kind ``VOTERS`` sets."""
+    """Decode the configuration in an entry of kind ``VOTERS``."""
     return _voters_decoder.decode(entry.data)
--- a/arrowseam/consensus/node.py
+++ b/arrowseam/consensus/node.py
@@ -1,18 +1,19 @@
 """One voter of the Raft algorithm (Ongaro 2014), with pre-vote and check-quorum.
 
 A node is a state machine without I/O, clock or random numbers: its runtime reports events (a message, a
-timeout, a finished write) and carries out the effects that each event returns. It does not interpret
-commands; ``Commit`` hands them to the replicated state.
+timeout, a finished write) and executes the effects that each event returns. The node does not interpret
+commands; ``Commit`` passes them to the replicated state.
 
 Two rules go beyond the published algorithm:
 
-- A voter is a name and the identity of its stored state. A process that starts without that state is another
-  voter, which counts only once the leader has added it. So a voter that lost its vote cannot vote twice.
-- An epoch is a history of the log. An operator begins a new one where a majority has lost its state;
+- A voter is identified by its name and the identity of its stored state. A process that starts without that
+  state is a different voter, which counts only once the leader has added it. So a voter that has lost the
+  record of its vote cannot vote twice.
+- An epoch is one history of the log. An operator begins a new one when a majority has lost its state;
   messages of an older epoch are answered with the newer one and change nothing.
 
-A vote or an acknowledgement is sent only after the records it rests on are stored. A leader sends entries
-before it has stored them itself, which is safe because it does not count itself for them until it has.
+A vote or an acknowledgement is sent only after the records that it depends on are stored. A leader sends
+entries before it has stored them itself, which is safe because it does not count itself for them until then.
 """
 
 from __future__ import annotations
@@ -43,37 +44,37 @@
 )
 from arrowseam.consensus.outbox import Outbox
 
-MESSAGE_ENTRIES_BYTES_MAX = 32 << 10  # bytes of entries in one message, but one entry at least
-CAUGHT_UP_WITHIN = 8  # entries: a learner that misses no more than these becomes a voter
+MESSAGE_ENTRIES_BYTES_MAX = 32 << 10  # bytes of entries in one message, which holds at least one entry
+CATCH_UP_LAG_MAX = 8  # entries: a learner that lacks at most this many may become a voter
 
 
 class Role(Enum):
-    """A node's part in the consensus; the values are shown to operators."""
+    """A node's role in the consensus; the values are shown to operators."""
 
-    NON_VOTER = "out"  # not in the configuration that it knows: it asks to be added
+    NON_VOTER = "out"  # not in the voter configuration that it knows; it asks to be added
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
-    FAILED = "broken"  # its state could not be stored: it sends nothing more
+    FAILED = "broken"  # its state could not be stored; it sends nothing more
 
 
 @dataclass
 class Progress:
-    """What a leader knows of the log of a voter or learner."""
+    """What a leader knows about the log of a voter or learner."""
 
-    next_index: int  # of the entry that is sent next
-    match_index: int = 0  # up to there its log is known to equal ours
-    in_flight: bool = False  # entries are under way to it
+    next_index: int  # index of the next entry to send
+    match_index: int = 0  # its log is known to match ours up to this index
+    in_flight: bool = False  # entries were sent and are not acknowledged yet
 
 
 class Node:
-    """The state of one voter. Each public event method returns the effects that the runtime carries out."""
+    """The state of one voter. Each event method returns the effects that the runtime must execute."""
 
     def __init__(
         self, identity: Voter, stored: Checkpoint | None = None, wanted_voters: tuple[str, ...] = ()
     ) -> None:
-        """``stored`` is what an earlier process wrote, its identity included; ``wanted_voters`` are the names
-        that the operators have configured."""
+        """``stored`` is the state that an earlier process wrote, including its identity; ``wanted_voters``
+        are the names of the voters that operators have configured."""
         self.identity = identity
         self.wanted_voters = wanted_voters
         self.epoch, self.term = Epoch(), 0
@@ -85,26 +86,26 @@
             self.term, self.voted_for = hard_state.term, hard_state.voted_for
             self.log = ReplicatedLog(stored.snapshot, list(stored.entries))
         self.commit_index = self.log.snapshot.index
-        self.durable_index = self.log.last_index  # entries up to there are stored here
+        self.durable_index = self.log.last_index  # entries up to this index are stored on this node
         self.role = Role.FOLLOWER if self.identity in self.log.voters else Role.NON_VOTER
         self.leader: str | None = None
-        self.leader_silent = True  # the election timeout has passed since a leader was last heard
+        self.leader_silent = True  # no leader was heard for an election timeout
         # As a candidate:
         self.pre_vote = False
         self.votes_received: set[Voter] = set()
         # As a leader:
         self.progress: dict[Voter, Progress] = {}
         self.learners: dict[str, Voter] = {}
-        self.responsive: set[Voter] = set()  # have answered in this election timeout
-        self.responsive_before: set[Voter] = set()  # and in the one before
-        self.quorum_checks = 0  # election timeouts since it became leader
-        self.term_start_index = 0  # of the first entry of its own term
+        self.responsive: set[Voter] = set()  # have answered within this election timeout
+        self.responsive_before: set[Voter] = set()  # have answered within the previous one
+        self.quorum_checks = 0  # election timeouts since this node became leader
+        self.term_start_index = 0  # index of the first entry of its own term
         self.outbox = Outbox()
 
     # --- events -------------------------------------------------------------------------------------------
 
     def on_election_timeout(self) -> list[Effect]:
-        """The election timer has run out; a leader checks whether a quorum still answers it."""
+        """The election timer has expired; a leader checks whether a quorum still answers it."""
         match self.role:
             case Role.LEADER:
                 self._check_quorum()
@@ -119,7 +120,7 @@
         return self._take_effects()
 
     def send_heartbeats(self) -> list[Effect]:
-        """The heartbeat timer has run out: a leader sends to all, also again what was not answered."""
+        """The heartbeat timer has expired: a leader sends to all, and repeats what was not acknowledged."""
         if self.role is Role.LEADER:
             for voter in self.progress:
                 self._send_entries(voter)
@@ -130,7 +131,7 @@
         if self.role is Role.FAILED or message.sender.name == self.identity.name:
             return self._take_effects()
         if message.epoch < self.epoch:
-            # Whatever it asks: that history is over, and the answer tells its sender the newer epoch.
+            # Whatever the message asks, its history is over; the reply tells the sender the newer epoch.
             self._send(
                 message.sender.name, RequestVoteReply(self.epoch, self.term, self.identity, False, False)
             )
@@ -158,7 +159,7 @@
                 self._on_join_request(message)
 
     def on_records_stored(self, token: int) -> list[Effect]:
-        """All records up to this token's are durable."""
+        """All writes up to this token are durable."""
         self.durable_index = max(self.durable_index, self.outbox.confirm_writes(token))
         if self.role is Role.LEADER:
             self._advance_commit_index()
@@ -167,23 +168,23 @@
         return self._take_effects()
 
     def on_storage_failed(self) -> list[Effect]:
-        """Records could not be stored: this process takes no part any more."""
+        """Records could not be stored: this node takes no further part in the consensus."""
         self.role, self.leader = Role.FAILED, None
         self.outbox.discard_messages()
         self.outbox.effects.append(RoleChanged())
         return self._take_effects()
 
-    # --- requests of the runtime --------------------------------------------------------------------------
+    # --- requests by the runtime --------------------------------------------------------------------------
 
     def propose(self, command: bytes) -> tuple[int | None, list[Effect]]:
-        """Append a command; the index at which it may be committed, or None where this is no leader."""
+        """Append a command; returns the index at which it may be committed, None if not the leader."""
         if self.role is not Role.LEADER:
             return None, self._take_effects()
         index = self._append_own_entry(EntryKind.COMMAND, command)
         return index, self._take_effects()
 
     def begin_epoch(self, epoch: Epoch, state: bytes, index: int) -> list[Effect]:
-        """An operator begins a new history; its only voter is this one, with this replicated state."""
+        """An operator begins a new history with this replicated state and this node as the only voter."""
         self.epoch = epoch
         self.term, self.voted_for = 0, None
         self._replace_log(Snapshot(max(1, index), 0, (self.identity,), state), [])
@@ -194,7 +195,7 @@
         return self._take_effects()
 
     def compact(self, index: int, state: bytes) -> list[Effect]:
-        """Let the replicated state as of a committed index stand for the entries up to there."""
+        """Replace the entries up to a committed index by a snapshot of the replicated state at that index."""
         if self.log.snapshot.index < index <= self.commit_index:
             self.log.compact(index, state)
             self.durable_index = max(self.durable_index, index)
@@ -202,8 +203,8 @@
         return self._take_effects()
 
     def change_voters(self, unavailable: Collection[str] = ()) -> list[Effect]:
-        """Take the next step towards the wanted voters, if one may be taken now; names that are
-        ``unavailable`` are not added."""
+        """Take the next step towards ``wanted_voters``, if one is allowed now; names in ``unavailable`` are
+        not added."""
         voters = self._next_voters(unavailable)
         if voters is not None:
             self._append_own_entry(EntryKind.VOTERS, encode_voters(voters))
@@ -226,7 +227,7 @@
         return 2 * len(voters.intersection(configured)) > len(configured)
 
     def _may_change_voters(self) -> bool:
-        """One change at a time, and only after an entry of the leader's own term is committed: without the
+        """One change at a time, and only after an entry of the leader's own term is committed. Without the
         second rule two leaders could commit by majorities that do not overlap (Ongaro's correction of 2015).
         """
         return (
@@ -242,7 +243,7 @@
         for voter in voters:
             if voter.name not in wanted and wanted:
                 return tuple(v for v in voters if v != voter)
-        seen = self.responsive | self.responsive_before | {self.identity}
+        responding = self.responsive | self.responsive_before | {self.identity}
         for name in wanted:
             learner = self.learners.get(name)
             if learner is None or learner in voters or name in unavailable or not self._is_caught_up(learner):
@@ -250,7 +251,8 @@
             predecessor = next((v for v in voters if v.name == name), None)
             if predecessor is None:
                 return tuple(sorted((*voters, learner)))
-            if predecessor not in seen and self.quorum_checks:  # if both processes live, the voter stays
+            # While the processes of both voters run, the old voter stays.
+            if predecessor not in responding and self.quorum_checks:
                 return tuple(v for v in voters if v != predecessor)
         return None
 
@@ -258,7 +260,7 @@
         progress = self.progress.get(learner)
         if progress is None or progress.match_index < self.commit_index:
             return False
-        return progress.match_index + CAUGHT_UP_WITHIN >= self.log.last_index
+        return progress.match_index + CATCH_UP_LAG_MAX >= self.log.last_index
 
     def _update_voter_role(self) -> None:
         if self.role is Role.NON_VOTER and self.identity in self.log.voters:
@@ -274,12 +276,12 @@
         return self.outbox.take_effects(self.log.last_index)
 
     def _send(self, to: str, message: RaftMessage) -> None:
-        """Send at once: the message rests on nothing that is not stored."""
+        """Send at once a message that depends on no record that is not yet durable."""
         if to != self.identity.name:
             self.outbox.send(to, message)
 
     def _send_when_stored(self, to: str, message: RaftMessage) -> None:
-        """Send once all records made so far are stored."""
+        """Send once all records so far are durable."""
         self.outbox.send_when_stored(to, message)
 
     def _hard_state(self) -> HardState:
@@ -289,25 +291,25 @@
         return Checkpoint(self._hard_state(), self.log.snapshot, list(self.log.entries))
 
     def _replace_entries(self, index: int, entries: list[Entry]) -> None:
-        """Hold these entries from an index on, in place of those that are there."""
+        """Replace all entries from ``index`` on by these."""
         if index <= self.commit_index:
-            raise AssertionError(f"{self.identity.name}: an entry that is committed would be lost: {index}")
+            raise AssertionError(f"{self.identity.name}: committed entry {index} would be replaced")
         self.log.replace_from(index, entries)
         self.durable_index = min(self.durable_index, index - 1)
-        self.outbox.entries_replaced(index)
+        self.outbox.on_entries_replaced(index)
         self.outbox.unwritten.append(AppendedEntries(index, entries))
         self._update_voter_role()
 
     def _replace_log(self, snapshot: Snapshot, entries: list[Entry]) -> None:
         self.log.replace_all(snapshot, entries)
         self.commit_index = self.durable_index = snapshot.index
-        self.outbox.entries_replaced(1)
+        self.outbox.on_entries_replaced(1)
         self.outbox.unwritten = [self._checkpoint()]
 
     # --- epochs, terms and roles --------------------------------------------------------------------------
 
     def _adopt_epoch(self, epoch: Epoch) -> None:
-        """An operator has begun a new history: what is held here belongs to one that is over."""
+        """An operator has begun a new history: discard the log, which belongs to an older one."""
         self.epoch, self.term, self.voted_for = epoch, 0, None
         self._replace_log(Snapshot(), [])
         self.learners.clear()
@@ -335,8 +337,8 @@
         self._set_leader(leader)
 
     def _check_quorum(self) -> None:
-        """A leader that a quorum did not answer for an election timeout steps down: cut off, it could commit
-        nothing, and would answer its clients with silence while another leads."""
+        """Step down if no quorum has answered for an election timeout: a leader without one can commit
+        nothing, and its clients would get no answer while another node leads."""
         if self.quorum_checks and not self._is_quorum(self.responsive | {self.identity}):
             self._become_follower(None)
         self.quorum_checks += 1
@@ -345,8 +347,8 @@
     # --- elections ----------------------------------------------------------------------------------------
 
     def _start_election(self, pre_vote: bool) -> None:
-        """Ask for votes. A pre-vote only asks whether there would be any, so that a voter that comes back
-        from a partition with a high term does not depose a leader that works."""
+        """Ask for votes. A pre-vote only asks whether they would be granted, so that a voter that returns
+        from a partition with a high term does not depose a working leader."""
         if self.identity not in self.log.voters:
             return
         if self.role is not Role.CANDIDATE:
@@ -367,7 +369,7 @@
         self._count_votes()
 
     def _election_term(self) -> int:
-        """The term that votes are asked for."""
+        """The term for which votes are requested."""
         return self.term + 1 if self.pre_vote else self.term
 
     def _count_votes(self) -> None:
@@ -386,7 +388,7 @@
         up_to_date = (message.last_term, message.last_index) >= (log.last_term, log.last_index)
         eligible = up_to_date and self.identity in log.voters
         if message.pre_vote:
-            # A leader that is heard here is not voted out by a voter that does not hear it.
+            # A voter that does not hear the leader must not depose it while it is heard here.
             granted = eligible and self.leader_silent and self.role is not Role.LEADER
         else:
             granted = eligible and self.voted_for in (None, message.sender)
@@ -419,7 +421,7 @@
     # --- replication by the leader ------------------------------------------------------------------------
 
     def _append_own_entry(self, kind: EntryKind, data: bytes) -> int:
-        """Append an entry of the leader's term and send it; its index."""
+        """Append an entry of the leader's term and send it; returns its index."""
         self._replace_entries(self.log.last_index + 1, [Entry(self.term, kind, data)])
         for voter in self.log.voters:
             if voter != self.identity:
@@ -430,7 +432,7 @@
         return self.log.last_index
 
     def _send_entries(self, voter: Voter) -> None:
-        """Send what follows the last entry sent, or the snapshot where the log does not reach back so far."""
+        """Send the entries from ``next_index`` on, or the snapshot if the log no longer holds them all."""
         progress, log = self.progress[voter], self.log
         if progress.next_index <= log.snapshot.index:
             self._send(voter.name, InstallSnapshot(self.epoch, self.term, self.identity, log.snapshot))
@@ -464,7 +466,7 @@
             self._send_entries(sender)
 
     def _on_join_request(self, message: JoinRequest) -> None:
-        """A process without a vote becomes a learner: it is sent the log, and added once it has caught up."""
+        """The sender becomes a learner: it receives the log, and becomes a voter once it has caught up."""
         sender = message.sender
         if self.role is not Role.LEADER or sender.name not in self.wanted_voters or sender in self.log.voters:
             return
@@ -478,8 +480,8 @@
         self._send_entries(sender)
 
     def _advance_commit_index(self) -> None:
-        """Commit what a quorum has stored, but never by counting an entry of an older term: another leader
-        could still replace it (Raft, figure 8)."""
+        """Commit what a quorum has stored, but never by counting replicas of an entry of an older term:
+        another leader could still replace it (Raft, figure 8)."""
         for index in range(self.log.last_index, self.commit_index, -1):
             if self.log.term_at(index) != self.term:
                 break
@@ -501,7 +503,7 @@
                     break
 
     def _on_voters_committed(self) -> None:
-        """Drop the removed voters; a leader that removed itself steps down."""
+        """Forget the progress of removed voters; a leader that removed itself steps down."""
         voters = self.log.voters
         for voter in list(self.progress):
             if voter not in voters and self.learners.get(voter.name) != voter:
@@ -513,7 +515,7 @@
     # --- replication at a follower ------------------------------------------------------------------------
 
     def _accept_leader(self, message: AppendEntries | InstallSnapshot) -> bool:
-        """Whether the message is of the leader of the current term."""
+        """Whether the message is from the leader of the current term; rejects it if not."""
         if message.term < self.term:
             self._reply_to_append(message, success=False, match_index=0)
             return False
@@ -534,7 +536,7 @@
             return
         log = self.log
         prev_index, prev_term, entries = message.prev_index, message.prev_term, message.entries
-        if prev_index < log.snapshot.index:  # a snapshot stands for committed entries, the same everywhere
+        if prev_index < log.snapshot.index:  # the snapshot's entries are committed, so equal on all nodes
             entries = entries[log.snapshot.index - prev_index :]
             prev_index, prev_term = log.snapshot.index, log.snapshot.term
         if prev_index > log.last_index or log.term_at(prev_index) != prev_term:
@@ -550,8 +552,8 @@
         self._reply_to_append(message, success=True, match_index=match_index)
 
     def _conflict_hint(self, index: int) -> int:
-        """After which index the leader should try next: before the whole term in which the logs differ, but
-        not before what is committed."""
+        """The index after which the leader should retry: before all entries of the conflicting term, but not
+        before the commit index."""
         log = self.log
         if index > log.last_index:
             return log.last_index
@@ -575,7 +577,7 @@
 
 
 def _is_pre_vote_term(message: RaftMessage) -> bool:
-    """Whether the term of a message is one that was only asked about: nobody has begun it."""
+    """Whether the message's term is only proposed by a pre-vote, so that no node has entered it."""
     if isinstance(message, RequestVote):
         return message.pre_vote
     return isinstance(message, RequestVoteReply) and message.pre_vote and message.granted
--- a/arrowseam/consensus/outbox.py
+++ b/arrowseam/consensus/outbox.py
@@ -1,9 +1,9 @@
-"""Messages and records of one node, in an order that is safe across a crash.
+"""Orders a node's messages and writes so that a crash cannot make it contradict what it has sent.
 
-Failure guarded against: a voter that answers before its records are on the disk can lose them in a crash and
-answer otherwise afterwards, for instance vote twice in a term. It shows as two leaders of one term or as a
-committed entry that is gone. The guard: messages that rest on records wait here until the write that stores
-these, and all writes before it, has been confirmed.
+A voter that answers before its records are on disk can lose them in a crash and answer differently later, for
+instance vote twice in a term. The result is two leaders in one term or the loss of a committed entry.
+Therefore a message that depends on records is held back until the write of these records, and all writes
+before it, have been confirmed.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 @dataclass
 class PendingWrite:
-    """Records that are being stored, and the messages that must wait for them."""
+    """A write in progress, and the messages that wait for it."""
 
     token: int
-    last_index: int  # entries up to there are stored once this write is
+    last_index: int  # entries up to this index are durable once the write is confirmed
     sends: list[Send] = field(default_factory=list)
 
 
 class Outbox:
-    """Collects what one event brings, until ``take_effects`` ends it."""
+    """Collects the effects of one event until ``take_effects`` returns them."""
 
     __slots__ = ("_deferred", "effects", "pending_writes", "unwritten", "write_token")
 
@@ -37,30 +37,30 @@
         self._deferred: list[Send] = []
 
     def copy(self) -> Outbox:
-        """Another outbox with the same content."""
-        fresh = Outbox()
-        fresh.effects, fresh.unwritten = self.effects.copy(), self.unwritten.copy()
-        fresh.pending_writes = deque(
+        """Return an independent copy of the outbox."""
+        clone = Outbox()
+        clone.effects, clone.unwritten = self.effects.copy(), self.unwritten.copy()
+        clone.pending_writes = deque(
             PendingWrite(write.token, write.last_index, write.sends.copy()) for write in self.pending_writes
         )
-        fresh.write_token, fresh._deferred = self.write_token, self._deferred.copy()
-        return fresh
+        clone.write_token, clone._deferred = self.write_token, self._deferred.copy()
+        return clone
 
     @property
     def is_durable(self) -> bool:
-        """Whether all records made so far are stored."""
+        """Whether all records so far are durable."""
         return not self.unwritten and not self.pending_writes
 
     def send(self, to: str, message: RaftMessage) -> None:
-        """Send at once: the message rests on nothing that is not stored."""
+        """Send at once a message that depends on no record that is not yet durable."""
         self.effects.append(Send(to, message))
 
     def send_when_stored(self, to: str, message: RaftMessage) -> None:
-        """Send once all records made so far are stored."""
+        """Send once all records so far are durable."""
         self._deferred.append(Send(to, message))
 
     def take_effects(self, last_index: int) -> list[Effect]:
-        """End an event after which the log reaches to ``last_index``."""
+        """End an event and return its effects; ``last_index`` is that of the log after the event."""
         if self.unwritten:
             self.write_token += 1
             records, self.unwritten = tuple(self.unwritten), []
@@ -77,8 +77,10 @@
         return effects
 
     def confirm_writes(self, token: int) -> int:
-        """Writes up to this token are stored: release their messages; the last entry that is stored now, 0 if
-        these writes stored none."""
+        """Release the messages of all writes up to ``token``, which are durable now.
+
+        Returns the index of the last entry that is durable by these writes, 0 if there is none.
+        """
         last_index = 0
         while self.pending_writes and self.pending_writes[0].token <= token:
             write = self.pending_writes.popleft()
@@ -86,13 +88,13 @@
             self.effects += write.sends
         return last_index
 
-    def entries_replaced(self, index: int) -> None:
-        """The log holds other entries from an index on than those that are being stored."""
+    def on_entries_replaced(self, index: int) -> None:
+        """The log's entries from ``index`` on were replaced: pending writes no longer make them durable."""
         for write in self.pending_writes:
             write.last_index = min(write.last_index, index - 1)
 
     def discard_messages(self) -> None:
-        """Nothing that rests on storage may be sent any more."""
+        """Drop all messages that wait for a write, after storage has failed."""
         self._deferred.clear()
         for write in self.pending_writes:
             write.sends.clear()
--- a/arrowseam/consensus/storage.py
+++ b/arrowseam/consensus/storage.py
@@ -1,12 +1,12 @@
-"""The state of a voter in a file: records one after the other, each with its length and checksum.
+"""The state file of a voter: a sequence of records, each with its length and checksum.
 
     arrowseam-agree 1\\n  { length, 4 bytes | CRC-32, 4 bytes | MessagePack of one record } ...
 
-A record whose end was never written (the file ends within it, or only zeros follow) was never synced, so that
-nobody was answered on the strength of it: it is cut off. Anything else that does not fit is refused, because
-a record that was synced may be lost, and with it a vote.
+An incomplete record at the end (the file ends within it, or only zeros follow) was never synced, so no
+message that depends on it was sent: it is cut off. Any other damage is refused, because a synced record may
+be lost, and with it a vote.
 
-A sync may take long: nothing here is called in the process of the event loop.
+A sync may take long, so none of this is called in the process of the event loop.
 """
 
 from __future__ import annotations
@@ -33,80 +33,80 @@
 
 HEADER = b"arrowseam-agree 1\n"
 RECORD_HEADER_SIZE = 8  # length and checksum
-RECORD_MAX = 8 << 20  # bytes
-FILE_MAX = 64 << 20  # bytes
+RECORD_BYTES_MAX = 8 << 20  # bytes
+FILE_BYTES_MAX = 64 << 20  # bytes
 _record_decoder: msgspec.msgpack.Decoder[StoredRecord] = msgspec.msgpack.Decoder(StoredRecord)
 
 
 class StateFileError(ArrowseamError):
-    """A state file that is refused; the text is one plain line."""
+    """A state file that is refused; the message is a single line."""
 
 
 def replay(records: Iterable[StoredRecord]) -> Checkpoint | None:
-    """The state that these records add up to, None without any; raises StateFileError."""
+    """Return the state that results from these records, None without any; raises StateFileError."""
     state: Checkpoint | None = None
     for record in records:
         if isinstance(record, Checkpoint):
             state = record
         elif state is None:
             if isinstance(record, AppendedEntries):
-                raise StateFileError("entries before any state")
+                raise StateFileError("entries precede the first state record")
             state = Checkpoint(record, Snapshot(), [])
         elif isinstance(record, HardState):
             state = Checkpoint(record, state.snapshot, state.entries)
         else:
             offset = record.index - state.snapshot.index - 1
             if not 0 <= offset <= len(state.entries):
-                raise StateFileError(f"entry {record.index} does not follow")
+                raise StateFileError(f"entry {record.index} does not follow the entries before it")
             state = Checkpoint(state.hard_state, state.snapshot, state.entries[:offset] + record.entries)
     return state
 
 
 def encode_record(record: StoredRecord) -> bytes:
-    """A record with its length and checksum."""
+    """Encode a record with its length and checksum."""
     body = encoder.encode(record)
     return len(body).to_bytes(4, "big") + zlib.crc32(body).to_bytes(4, "big") + body
 
 
 def encode_records(records: Iterable[StoredRecord]) -> bytes:
-    """Records one after the other, as the file holds them after its header."""
+    """Encode records as they are stored after the file header."""
     return b"".join(map(encode_record, records))
 
 
 def decode_file(data: bytes) -> tuple[list[StoredRecord], int]:
-    """The records of a file, and the length in bytes of what is whole; raises StateFileError."""
+    """Return the records of a file, and the size in bytes of its intact part; raises StateFileError."""
     if not data.startswith(HEADER):
         if HEADER.startswith(data):
-            return [], 0  # not even the header was written
-        raise StateFileError("foreign: it does not begin as ours do")
-    at, records = len(HEADER), list[StoredRecord]()
-    while at < len(data):
-        rest = data[at:]
+            return [], 0  # the header itself is incomplete
+        raise StateFileError("unknown header: not a voter state file of this version")
+    position, records = len(HEADER), list[StoredRecord]()
+    while position < len(data):
+        rest = data[position:]
         if _is_torn(rest):
-            return records, at
+            return records, position
         size, checksum = int.from_bytes(rest[:4], "big"), int.from_bytes(rest[4:RECORD_HEADER_SIZE], "big")
         body = rest[RECORD_HEADER_SIZE : RECORD_HEADER_SIZE + size]
-        if not 0 < size <= RECORD_MAX or zlib.crc32(body) != checksum:
-            raise StateFileError(f"broken at byte {at}")
+        if not 0 < size <= RECORD_BYTES_MAX or zlib.crc32(body) != checksum:
+            raise StateFileError(f"corrupted record at byte {position}: wrong length or checksum")
         try:
             records.append(_record_decoder.decode(body))
         except msgspec.DecodeError as error:
-            raise StateFileError(f"cannot be read at byte {at}: {error}") from None
-        at += RECORD_HEADER_SIZE + size
-    return records, at
+            raise StateFileError(f"record at byte {position} cannot be decoded: {error}") from None
+        position += RECORD_HEADER_SIZE + size
+    return records, position
 
 
 def _is_torn(rest: bytes) -> bool:
-    """Whether a record begins here whose end was never written."""
+    """Whether ``rest`` is a record that was not completely written."""
     size = int.from_bytes(rest[:4], "big")
-    cut = 0 < size <= RECORD_MAX and len(rest) < RECORD_HEADER_SIZE + size
-    return len(rest) < RECORD_HEADER_SIZE or not any(rest) or cut
+    truncated = 0 < size <= RECORD_BYTES_MAX and len(rest) < RECORD_HEADER_SIZE + size
+    return len(rest) < RECORD_HEADER_SIZE or not any(rest) or truncated
 
 
 def state_file_path(folder: str, proxy: str) -> Path:
-    """The file of a proxy; proxies of one machine may share a folder."""
-    number = blake2b(proxy.encode("utf-8", "surrogatepass"), digest_size=6).hexdigest()
-    return Path(folder) / f"arrowseam-{number}.agree"
+    """Path of a proxy's state file; proxies of one machine may share a folder."""
+    name_digest = blake2b(proxy.encode("utf-8", "surrogatepass"), digest_size=6).hexdigest()
+    return Path(folder) / f"arrowseam-{name_digest}.agree"
 
 
 def _write_all(fd: int, data: bytes) -> None:
@@ -134,10 +134,10 @@
 
 
 class StateFile:
-    """The file of one voter, locked against any other process of its name while this one lives."""
+    """The state file of one voter, locked against other processes with the same proxy name until closed."""
 
     def __init__(self, path: Path) -> None:
-        """Raises OSError, and BlockingIOError while another process holds the lock."""
+        """Raises OSError; BlockingIOError while another process holds the lock."""
         self.path = path
         self._fd = -1
         self._lock_fd = os.open(
@@ -150,7 +150,10 @@
             raise
 
     def load(self) -> Checkpoint | None:
-        """The stored state, None in a new file; a torn end is cut off. Raises StateFileError or OSError."""
+        """Load the state, None for a new file; an incomplete last record is truncated.
+
+        Raises StateFileError or OSError.
+        """
         try:
             fd = os.open(self.path, os.O_RDWR | os.O_CLOEXEC | os.O_NOFOLLOW)
         except FileNotFoundError:
@@ -159,26 +162,26 @@
         with contextlib.ExitStack() as stack:
             stack.callback(os.close, fd)
             size = os.fstat(fd).st_size
-            if size > FILE_MAX:
-                raise StateFileError(f"longer than {FILE_MAX} bytes")
+            if size > FILE_BYTES_MAX:
+                raise StateFileError(f"larger than {FILE_BYTES_MAX} bytes")
             data = _read_all(fd, size)
-            records, whole = decode_file(data)
+            records, intact_size = decode_file(data)
             state = replay(records)
-            if whole == 0:
+            if intact_size == 0:
                 self.replace([])
                 return None
-            if whole < len(data):
-                os.ftruncate(fd, whole)
+            if intact_size < len(data):
+                os.ftruncate(fd, intact_size)
                 os.fsync(fd)
-            os.lseek(fd, whole, os.SEEK_SET)
+            os.lseek(fd, intact_size, os.SEEK_SET)
             stack.pop_all()
         self._fd = fd
         return state
 
     def append(self, records: list[StoredRecord]) -> None:
-        """Store records for good; the last checkpoint among them replaces the file.
+        """Store records durably; the last checkpoint among them replaces the file.
 
-        Raises OSError; after that nothing more may be written, as nobody knows what the disk holds.
+        Raises OSError; nothing more may be written after that, since what the disk holds is unknown.
         """
         last_checkpoint = max(
             (n for n, record in enumerate(records) if isinstance(record, Checkpoint)), default=-1
@@ -190,19 +193,19 @@
         os.fdatasync(self._fd)
 
     def replace(self, records: list[StoredRecord]) -> None:
-        """Make these the only records of the file, in one step that survives a loss of power."""
-        fresh = self.path.with_name(f".{self.path.name}.{os.getpid()}")
+        """Atomically replace the file's content by these records, safe against a loss of power."""
+        temporary = self.path.with_name(f".{self.path.name}.{os.getpid()}")
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC | os.O_NOFOLLOW
-        fd = os.open(fresh, flags, 0o600)
+        fd = os.open(temporary, flags, 0o600)
         try:
             _write_all(fd, HEADER + encode_records(records))
             os.fsync(fd)
-            os.replace(fresh, self.path)
+            os.replace(temporary, self.path)
             _sync_folder(self.path.parent)
         except OSError:
             os.close(fd)
             with contextlib.suppress(OSError):
-                os.unlink(fresh)
+                os.unlink(temporary)
             raise
         if self._fd >= 0:
             os.close(self._fd)
--- a/arrowseam/consensus/worker.py
+++ b/arrowseam/consensus/worker.py
@@ -1,11 +1,11 @@
 """The worker process that stores a voter's state (``python -m arrowseam.consensus.worker FILE``).
 
-A sync may take seconds on a busy disk, and the proxy's event loop must not wait for it. The worker answers
-for a write only after its sync, and ends after an error or at the end of its input.
+A sync may take seconds on a busy disk, and the proxy's event loop must not wait for it. The worker confirms a
+write only after its sync, and exits after an error or at the end of its input.
 
-It is asked and answers in JSON lines. The first question is empty: ``{"whole":BASE64 or null}`` once no other
-process holds the file, or ``{"unfit":"why"}``. Then ``{"token":N,"kept":BASE64}`` is answered by
-``{"stored":N}``, or by ``{"failed":"why"}``, the last line.
+Requests and replies are JSON lines. The first request is empty; its reply is ``{"whole":BASE64 or null}``
+once no other process holds the file, or ``{"unfit":"why"}``. After that, ``{"token":N,"kept":BASE64}`` is
+answered by ``{"stored":N}``, or by ``{"failed":"why"}``, which is the last line.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 _records_decoder: msgspec.msgpack.Decoder[list[StoredRecord]] = msgspec.msgpack.Decoder(list[StoredRecord])
 
 
-def _answer(**fields: Any) -> None:
+def _reply(**fields: Any) -> None:
     sys.stdout.buffer.write(json.dumps(fields).encode() + b"\n")
     sys.stdout.buffer.flush()
 
 
 def _open(path: Path) -> StateFile:
-    """Wait for the process before this one, under the same name, to release the file."""
+    """Open the state file; wait until an earlier process with the same proxy name has released it."""
     while True:
         try:
             return StateFile(path)
@@ -42,9 +42,9 @@
 
 
 def main() -> None:
-    """Serve one proxy until its end of input."""
-    for number in (signal.SIGINT, signal.SIGHUP):  # to the whole process group: they are for the proxy
-        signal.signal(number, signal.SIG_IGN)
+    """Serve one proxy until the end of input."""
+    for signal_number in (signal.SIGINT, signal.SIGHUP):  # sent to the whole group, but meant for the proxy
+        signal.signal(signal_number, signal.SIG_IGN)
     if not sys.stdin.buffer.readline():
         return
     path = Path(sys.argv[1])
@@ -52,17 +52,17 @@
         state_file = _open(path)
         state = state_file.load()
     except (OSError, StateFileError) as error:
-        _answer(unfit=f"{path.name}: {getattr(error, 'strerror', None) or error}")
+        _reply(unfit=f"{path.name}: {getattr(error, 'strerror', None) or error}")
         return
-    _answer(whole=base64.b64encode(encoder.encode(state)).decode() if state is not None else None)
+    _reply(whole=base64.b64encode(encoder.encode(state)).decode() if state is not None else None)
     for line in sys.stdin.buffer:
         request = json.loads(line)
         try:
             state_file.append(_records_decoder.decode(base64.b64decode(request["kept"])))
         except OSError as error:
-            _answer(failed=error.strerror or str(error))
+            _reply(failed=error.strerror or str(error))
             return
-        _answer(stored=request["token"])
+        _reply(stored=request["token"])
 
 
 if __name__ == "__main__":
