--- a/arrowseam/hot_restart/channel.py
+++ b/arrowseam/hot_restart/channel.py
@@ -1,4 +1,4 @@
-"""The connection between two processes of one proxy, on which descriptors may be sent along."""
+"""The connection between two processes of one proxy; file descriptors may be sent along with messages."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from arrowseam.net.task import Coroutine
 
 LINE_BYTES_MAX = 65536
-DESCRIPTOR_COUNT_INTERVAL = 100 * MS  # between two reports of a changed number of descriptors
+DESCRIPTOR_COUNT_INTERVAL = 100 * MS  # least time between two reports of the number of descriptors
 
 
 class DescriptorConnection(Connection):
-    """A connection that keeps the descriptors which come along, in the order in which they came."""
+    """A connection that also receives descriptors, and queues them in the order of arrival."""
 
     __slots__ = ("descriptors",)
 
@@ -42,16 +42,16 @@
         )
         self.descriptors += descriptors
         if flags & socket.MSG_CTRUNC:
-            # No descriptor was free for one that came along, so the following ones would be taken for
-            # it and a client paired with another client's endpoint. Nothing more is read, and what came
-            # is closed.
+            # The kernel dropped a descriptor because none was free here. The following ones would be taken
+            # for it, and a client would be paired with another client's endpoint. So nothing more is read,
+            # and the received descriptors are closed.
             self.broken = self.eof = True
             return
         self.eof = not data
         self.received.append(data)
 
     def close(self, reset: bool = False) -> None:
-        """Close it, and the descriptors that nobody has taken."""
+        """Close the connection, and the received descriptors that were not taken."""
         while self.descriptors:
             os.close(self.descriptors.popleft())
         super().close(reset)
@@ -61,7 +61,7 @@
     """Sends and receives the messages of a hot restart.
 
     Attributes:
-        unsent: lines to be written, each with the descriptors to be sent along.
+        unsent: lines still to be written, each with the descriptors to be sent along.
     """
 
     def __init__(
@@ -75,10 +75,10 @@
         self.reported_count = -1
 
     def send(self, message: HandoverMessage, *connections: Connection) -> None:
-        """Send a message, with copies of the descriptors of some connections.
+        """Send a message, together with copies of the descriptors of ``connections``.
 
         Raises:
-            OSError: no descriptor is free for the copies; nothing is sent.
+            OSError: a descriptor could not be copied, as none is free; nothing is sent.
         """
         descriptors: list[int] = []
         try:
@@ -91,7 +91,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the other process takes now."""
+        """Write as much as the socket accepts now."""
         while self.unsent and self._can_write():
             data, descriptors = self.unsent.popleft()
             sent = self._write(data, descriptors)
@@ -116,7 +116,7 @@
         return 0
 
     def run(self) -> Coroutine[None]:
-        """Exchange messages until the channel closes or breaks: either is taken for the other's end."""
+        """Exchange messages until the channel closes or fails: both mean that the other process has ended."""
         connection = self.connection
         try:
             while True:
@@ -142,7 +142,7 @@
                 if message is not None:
                     self.on_message(message, self.connection)
             except (ArrowseamError, ValueError, TypeError, KeyError) as error:
-                log("hot_restart.note", f"hot restart: a message of the other process is invalid: {error!r}")
+                log("hot_restart.note", f"hot restart: invalid message from the other process: {error!r}")
 
     def _report_descriptor_count(self) -> None:
         count = len(self.loop.watched)
--- a/arrowseam/hot_restart/connection_state.py
+++ b/arrowseam/hot_restart/connection_state.py
@@ -1,8 +1,8 @@
-"""How an established connection is described to another process of this proxy.
+"""Encoding of an established connection that is handed over to another process of this proxy.
 
-The description is a JSON object of three parts, side by side: the request as the driver knows it, what the
-protocol's session keeps, and what its forwarder has read and not yet written. The fields of the first part
-are mapped to the names in the code here.
+The result is one JSON object with the fields of three parts: the request as the driver knows it, the state of
+the protocol's session, and what the forwarder has read but not yet written. This module maps the fields of
+the first part to the names in the code.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def encode_connection(
     snapshot: ConnectionSnapshot, session_state: Mapping[str, Any], forwarder_state: Mapping[str, Any]
 ) -> dict[str, Any]:
-    """The three parts as one JSON object."""
+    """Combine the three parts into one JSON object."""
     request_class = snapshot.request_class
     fields = {
         "name": snapshot.name,
@@ -33,7 +33,7 @@
 
 
 def decode_connection(state: Mapping[str, Any]) -> ConnectionSnapshot:
-    """The first part; raises KeyError, TypeError or ValueError if it is not of that form."""
+    """Decode the first part; raises KeyError, TypeError or ValueError if it is malformed."""
     latency_objective, deadline, priority_weight = state["rule"]
     return ConnectionSnapshot(
         name=str(state["name"]),
--- a/arrowseam/hot_restart/hot_restart.py
+++ b/arrowseam/hot_restart/hot_restart.py
@@ -1,11 +1,11 @@
-"""A hot restart: a new process takes over from the old one while that serves; both count as one proxy.
-
-The old process answers a new one with its listening sockets and its state, and goes on as before. Once the
-new one accepts clients it says which sockets it has taken. The old one closes its copies of them, says that
-it has released them, hands over its established connections and drains. Both processes accept from the same
-sockets meanwhile, so no client's connection is reset. If the new process ends before it has said which
-sockets it took, the old one serves on as before; if it ends later, nobody accepts until another process is
-started, and the connections that were handed over are lost. Until one of them has ended each notifies the
+"""Hot restart: a new process takes over while the old one still serves; both count as one proxy.
+
+The old process answers a new one with its listening sockets and its state, and continues to serve. Once the
+new process accepts clients, it reports which sockets it has taken. The old process closes its copies of them,
+reports that it has released them, hands over its established connections and drains. In between, both accept
+from the same sockets, so no client's connection is reset. If the new process ends before it has reported the
+sockets, the old one continues to serve; if it ends later, nothing accepts clients until another process is
+started, and the connections that were handed over are lost. As long as both processes run, each notifies the
 other of cordons, of connection ids in use and of the number of its descriptors.
 """
 
@@ -28,7 +28,7 @@
     encode_state,
 )
 from arrowseam.hot_restart.offer import HandoverOffer
-from arrowseam.hot_restart.restart_socket import RestartSocket, is_own_process
+from arrowseam.hot_restart.restart_socket import RestartSocket, is_same_user
 from arrowseam.logs import log
 from arrowseam.net.clock import SECOND, clock
 from arrowseam.net.connection import Connection
@@ -36,27 +36,27 @@
 from arrowseam.net.listener import Listener
 from arrowseam.net.task import Coroutine
 
-REQUEST_TIMEOUT = 2 * SECOND  # for the request, and for writing the state
-RELEASE_TIMEOUT = 2 * SECOND  # the new process counts as serving by then even if the old one hangs
+REQUEST_TIMEOUT = 2 * SECOND  # for reading the request, and for writing the state
+RELEASE_TIMEOUT = 2 * SECOND  # after that the new process counts as serving, even if the old one hangs
 UNSENT_MESSAGES_MAX = 8  # each may hold copies of descriptors
-DESCRIPTORS_OF_A_CONNECTION = 2
-STATE_HEAD_BYTES = 1024  # of the state, written together with the descriptors
+DESCRIPTORS_PER_CONNECTION = 2
+STATE_HEAD_BYTES = 1024  # first part of the state, written together with the descriptors
 
 
 class HotRestartHandler(Protocol):
-    """What the rest of the proxy does in a hot restart."""
+    """What the rest of the proxy must implement for a hot restart."""
 
     def export_state(self) -> HandoverState:
-        """What the new process starts with; names and number of sockets are filled in by the caller."""
+        """The state for the new process; the caller fills in listener names and descriptor count."""
 
     def on_cordon_change(self, endpoint: str, cordoned: bool) -> None:
         """The other process has cordoned or uncordoned an endpoint."""
 
     def on_connection_id_change(self, connection_id: str, in_use: bool) -> None:
-        """The other process has begun or ceased to use the id of a client's connection."""
+        """The other process has begun or stopped using the id of a client's connection."""
 
     def on_other_process_ended(self) -> None:
-        """The other process uses no connection ids any more."""
+        """The other process has ended, so it uses no connection ids any more."""
 
     def hand_over_and_drain(self) -> None:
         """The new process serves: hand over the established connections and drain."""
@@ -64,15 +64,15 @@
     def accept_connection(
         self, state: dict[str, Any], client_socket: socket.socket, endpoint_socket: socket.socket
     ) -> None:
-        """Go on with a connection; raises KeyError, TypeError or ValueError if ``state`` cannot be read."""
+        """Continue a connection; raises KeyError, TypeError or ValueError if ``state`` is malformed."""
 
 
 class HotRestart:
-    """Both roles in one process: it may have been the new one, and will be the old one.
+    """Both roles of a process: it may have started as the new one, and later becomes the old one.
 
     Attributes:
         channel: the connection to the other process, while there is one.
-        released: False while the old process may still accept clients too.
+        released: False while the old process may still accept clients as well.
     """
 
     def __init__(self, loop: EventLoop, restart_socket: RestartSocket, handler: HotRestartHandler) -> None:
@@ -83,7 +83,7 @@
         self.taken_over_at = 0
 
     def listen(self) -> None:
-        """From now on a new process may ask this one."""
+        """Listen for a new process that requests a handover."""
         try:
             sock = self.restart_socket.listen()
         except OSError as error:
@@ -98,21 +98,24 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether clients come to this process alone, or the old one has had its time to let go."""
+        """Whether only this process accepts clients, or the old one has exceeded ``RELEASE_TIMEOUT``."""
         return self.released or clock() >= self.taken_over_at + RELEASE_TIMEOUT
 
     # --- as the new process ---
 
     def take_over(self, offer: HandoverOffer) -> None:
-        """All listeners of this process accept: notify the old process, and go on with what it hands over."""
+        """Complete the handover, now that all listeners of this process accept.
+
+        Notifies the old process, and continues the connections that it hands over.
+        """
         self.released, self.taken_over_at = False, clock()
         self.loop.held_by_peer_process = offer.state.descriptor_count
-        task = self.loop.start_task(self._run_as_new(offer), "hot restart", high_priority=True)
+        task = self.loop.start_task(self._run_as_new_process(offer), "hot restart", high_priority=True)
         connection = DescriptorConnection(self.loop, offer.channel_socket, task)
         connection.received.append(offer.unread)
         self.channel = HandoverChannel(self.loop, connection, self._on_message)
 
-    def _run_as_new(self, offer: HandoverOffer) -> Coroutine[None]:
+    def _run_as_new_process(self, offer: HandoverOffer) -> Coroutine[None]:
         assert self.channel is not None
         try:
             self.channel.send(ListenersTaken(tuple(offer.taken_names)))
@@ -131,8 +134,8 @@
     # --- as the old process ---
 
     def serve_new_process(self, conn: Connection) -> Coroutine[None]:
-        """Answer a new process that asks; one at a time."""
-        if not is_own_process(conn.sock) or self.channel is not None:
+        """Answer a new process that requests a handover; only one at a time."""
+        if not is_same_user(conn.sock) or self.channel is not None:
             return
         conn.received.limit = LINE_BYTES_MAX
         if (yield from conn.read_line(LINE_BYTES_MAX, clock() + REQUEST_TIMEOUT)) is None:
@@ -141,10 +144,10 @@
         try:
             sent = socket.send_fds(conn.sock, [state[:STATE_HEAD_BYTES]], descriptors)
         except OSError as error:
-            log("hot_restart.failed", f"hot restart: {error}")
+            log("hot_restart.failed", f"hot restart: cannot send the state: {error}")
             return
-        connection = self._with_descriptors(conn)
-        # Messages are sent only after the state, so what happens from here on is not lost in between.
+        connection = self._as_descriptor_connection(conn)
+        # The channel sends messages only after the state, so no change from here on is lost.
         self.channel = HandoverChannel(self.loop, connection, self._on_message)
         try:
             if (yield from connection.send(state[sent:], clock() + REQUEST_TIMEOUT)):
@@ -155,7 +158,7 @@
             self.channel = None
             self.handler.on_other_process_ended()
             if self.listener is not None:
-                log("hot_restart.note", "hot restart: the new process has ended first; going on")
+                log("hot_restart.note", "hot restart: the new process has ended first; still serving")
 
     def _state_with_sockets(self) -> tuple[bytes, list[int]]:
         listeners = [listener for listener in self.loop.listeners if listener.sock.fileno() >= 0]
@@ -165,8 +168,8 @@
         )
         return encode_state(state), [listener.sock.fileno() for listener in listeners]
 
-    def _with_descriptors(self, conn: Connection) -> DescriptorConnection:
-        """The same socket, as a connection on which descriptors may come along."""
+    def _as_descriptor_connection(self, conn: Connection) -> DescriptorConnection:
+        """Wrap the same socket in a connection that also receives descriptors."""
         self.loop.unregister(conn)
         connection = DescriptorConnection(self.loop, conn.sock, conn.owner)
         conn.closed = True
@@ -192,17 +195,17 @@
             if listener.name in names:
                 listener.release()
         if self.listener is not None:
-            self.listener.release()  # the new process listens at its address
+            self.listener.release()  # the new process listens on the restart socket now
             self.listener = None
         if self.channel is not None:
             self.channel.send(ListenersReleased())
         self.handler.hand_over_and_drain()
 
     def _accept_connection(self, state: dict[str, Any], connection: DescriptorConnection) -> None:
-        if len(connection.descriptors) < DESCRIPTORS_OF_A_CONNECTION:
-            raise HandoverMessageError("the sockets of a connection are missing")
+        if len(connection.descriptors) < DESCRIPTORS_PER_CONNECTION:
+            raise HandoverMessageError("a connection was sent without its two sockets")
         sockets = [
-            socket.socket(fileno=connection.descriptors.popleft()) for _ in range(DESCRIPTORS_OF_A_CONNECTION)
+            socket.socket(fileno=connection.descriptors.popleft()) for _ in range(DESCRIPTORS_PER_CONNECTION)
         ]
         try:
             self.handler.accept_connection(state, sockets[0], sockets[1])
@@ -219,18 +222,18 @@
         try:
             channel.send(ConnectionHandedOver(state), client, endpoint)
         except OSError:
-            return False  # no descriptor is free: it is tried again, and migrated in the end
+            return False  # no descriptor is free: it is retried, and in the end the connection is migrated
         return True
 
     @property
     def has_unsent_messages(self) -> bool:
-        """Whether some of what was handed over is not yet written."""
+        """Whether some of the messages to the other process are not written yet."""
         return self.channel is not None and bool(self.channel.unsent)
 
-    # --- as either ---
+    # --- in both roles ---
 
     def notify_cordon_change(self, endpoint: str, cordoned: bool) -> None:
-        """Notify the other process, if there is one, of a cordon or its end."""
+        """Notify the other process, if there is one, of a cordon or uncordon."""
         if self.channel is not None:
             self.channel.send(CordonChange(endpoint, cordoned))
 
--- a/arrowseam/hot_restart/messages.py
+++ b/arrowseam/hot_restart/messages.py
@@ -1,7 +1,7 @@
-"""What two processes of one proxy tell each other during a hot restart, and its form on the wire.
+"""Messages between the two processes of one proxy during a hot restart, and their encoding.
 
-This is the one place where the names on that wire are mapped to the names in the code. A message is a JSON
-object on a line; descriptors may be sent along with it (``SCM_RIGHTS``).
+Only this module maps the names on the wire to the names in the code. A message is a JSON object on one line;
+file descriptors may be sent along with it (``SCM_RIGHTS``).
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class HandoverMessageError(ArrowseamError):
-    """The other process has sent something that is not a message of its form."""
+    """The other process has sent a message that cannot be decoded or used."""
 
 
 class ListenersTaken(NamedTuple):
-    """New to old: these listening sockets are in use by the new process."""
+    """New to old: the new process now uses these listening sockets."""
 
     names: tuple[str, ...]
 
@@ -29,30 +29,30 @@
 
 
 class ConnectionHandedOver(NamedTuple):
-    """Old to new: an established connection; the sockets of client and endpoint are sent along.
+    """Old to new: an established connection; the sockets of its client and its endpoint are sent along.
 
-    ``state`` is as ``connection_state.py`` encodes it.
+    ``state`` is encoded by ``connection_state.py``.
     """
 
     state: dict[str, Any]
 
 
 class CordonChange(NamedTuple):
-    """Either way: an endpoint was cordoned or uncordoned."""
+    """In both directions: an endpoint was cordoned or uncordoned."""
 
     endpoint: str
     cordoned: bool
 
 
 class ConnectionIdChange(NamedTuple):
-    """Either way: the id of a client's connection has come into use, or is free again."""
+    """In both directions: the id of a client's connection has come into use, or is free again."""
 
     connection_id: str
     in_use: bool
 
 
 class DescriptorCount(NamedTuple):
-    """Either way: how many descriptors the sender has open; both processes share one limit."""
+    """In both directions: how many descriptors the sender has open; both processes share one limit."""
 
     descriptors: int
 
@@ -68,7 +68,7 @@
 
 
 def encode_message(message: HandoverMessage) -> bytes:
-    """One message as a line."""
+    """Encode a message as one line."""
     return json.dumps(_fields(message)).encode() + b"\n"
 
 
@@ -89,7 +89,7 @@
 
 
 def decode_message(line: bytes) -> HandoverMessage | None:
-    """One line as a message; None for a kind that this version does not know.
+    """Decode one line; None for a kind of message that this version does not know.
 
     Raises:
         HandoverMessageError: the line is not JSON.
@@ -115,16 +115,16 @@
 
 
 class HandoverState(NamedTuple):
-    """The old process's first answer: what the new one starts with.
+    """The old process's first reply: the state with which the new process starts.
 
     Attributes:
-        endpoint_list: the list of the discovery service, in its own form.
-        cordoned: endpoints that are cordoned by hand.
-        uncordoned_at: endpoints that were uncordoned lately, and when (microseconds, monotonic clock).
-        endpoint_sources: what the sources of endpoints export; None without an operator file.
+        endpoint_list: the endpoint list of the discovery service, in the service's format.
+        cordoned: endpoints that operators have cordoned.
+        uncordoned_at: recently uncordoned endpoints, and when (microseconds, monotonic clock).
+        endpoint_sources: the exported state of the endpoint sources; None without an operator file.
         connection_ids: ids of clients' connections in use.
-        listener_names: names of the listening sockets that are sent along, in their order.
-        descriptor_count: descriptors that the old process has open.
+        listener_names: names of the listening sockets that are sent along, in the same order.
+        descriptor_count: number of descriptors that the old process has open.
     """
 
     endpoint_list: dict[str, Any] | None
@@ -137,7 +137,7 @@
 
 
 def encode_state(state: HandoverState) -> bytes:
-    """The old process's first answer as a line."""
+    """Encode the old process's first reply as one line."""
     fields = {
         "list": state.endpoint_list,
         "cordoned": list(state.cordoned),
@@ -151,10 +151,10 @@
 
 
 def decode_state(line: bytes) -> HandoverState:
-    """The first answer of an old process.
+    """Decode the old process's first reply.
 
     Raises:
-        HandoverMessageError: it is not JSON, or does not name the sockets that come with it.
+        HandoverMessageError: it is not valid JSON, or does not name the sockets that are sent along.
     """
     try:
         fields = json.loads(line)
@@ -170,4 +170,4 @@
             descriptor_count=int(fields.get("held", 0)),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise HandoverMessageError(f"its state cannot be read: {error}") from None
+        raise HandoverMessageError(f"its state cannot be decoded: {error}") from None
--- a/arrowseam/hot_restart/offer.py
+++ b/arrowseam/hot_restart/offer.py
@@ -1,4 +1,4 @@
-"""What a starting process gets from the one that serves: its listening sockets, its state and the channel."""
+"""The handover as requested by a starting process: the old one's listening sockets, state and channel."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class HandoverOfferError(ArrowseamError):
-    """The process that serves has not handed over."""
+    """The serving process has not sent a complete handover."""
 
 
 class HandoverOffer:
     """The old process's listening sockets by name, its state, and the socket of the channel to it.
 
-    ``unread`` is what the old process has sent after its state: the channel reads it first.
+    ``unread`` is what the old process has already sent after its state: the channel reads it first.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self.taken_names: list[str] = []
 
     def take_socket(self, name: str, address: Address) -> socket.socket | None:
-        """The old process's listening socket of that name, if it listens on that address."""
+        """Take the old process's listening socket of this name, if it listens on this address; else None."""
         sock = self.sockets.get(name)
         if sock is None or sock.getsockname()[:2] != address:
             return None
@@ -45,16 +45,16 @@
         return self.sockets.pop(name)
 
     def close_unused_sockets(self) -> None:
-        """Close our copies of the sockets that were not taken."""
+        """Close this process's copies of the sockets that were not taken."""
         for sock in self.sockets.values():
             sock.close()
         self.sockets.clear()
 
 
 def request_handover(restart_socket: RestartSocket) -> HandoverOffer | None:
-    """Ask the process that serves to hand over; None if there is none, or it does not.
+    """Ask the serving process to hand over; None if there is none or the handover fails.
 
-    Blocks: it is called before the event loop runs.
+    Blocks, so it must be called before the event loop runs.
     """
     channel_socket = restart_socket.connect()
     if channel_socket is None:
@@ -64,9 +64,9 @@
         line, unread = _receive_state(channel_socket, descriptors)
         state = decode_state(line)
         if len(state.listener_names) != len(descriptors):
-            raise HandoverOfferError("sockets are missing")
+            raise HandoverOfferError("the number of sockets differs from that of their names")
     except (OSError, ArrowseamError) as error:
-        log("hot_restart.note", f"hot restart: the process that serves does not hand over: {error}")
+        log("hot_restart.note", f"hot restart: the serving process does not hand over: {error}")
         for descriptor in descriptors:
             os.close(descriptor)
         channel_socket.close()
@@ -79,7 +79,7 @@
 
 
 def _receive_state(channel_socket: socket.socket, descriptors: list[int]) -> tuple[bytes, bytes]:
-    """The line with the state, and what came after it; descriptors that come along are appended."""
+    """Return the line with the state and the data after it; received descriptors are appended."""
     channel_socket.sendall(HANDOVER_REQUEST)
     received = b""
     while b"\n" not in received:
@@ -87,6 +87,6 @@
         descriptors += more_descriptors
         received += data
         if not data or len(received) > STATE_BYTES_MAX:
-            raise HandoverOfferError("the answer broke off")
+            raise HandoverOfferError("its reply ended early or is too long")
     line, _, unread = received.partition(b"\n")
     return line, unread
--- a/arrowseam/hot_restart/restart_socket.py
+++ b/arrowseam/hot_restart/restart_socket.py
@@ -1,6 +1,6 @@
-"""The unix socket by which the processes of one proxy find each other.
+"""The unix socket on which the processes of one proxy find each other.
 
-It lets in only processes of the same user: the folder is that of temporary files, where anybody may write.
+It accepts only processes of the same user: it is in the folder of temporary files, where any user may write.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from hashlib import blake2b
 from pathlib import Path
 
-CONNECT_TIMEOUT_SECONDS = 2.0  # for each socket call of a starting process that asks the old one
+CONNECT_TIMEOUT_SECONDS = 2.0  # for each socket call of a new process that requests a handover
 BACKLOG = 8
 NO_ACCESS_FOR_OTHERS = 0o177
 
@@ -26,19 +26,19 @@
 
 
 def shared_folder() -> Path:
-    """Where the processes of one proxy find each other's files."""
+    """The folder of the files that the processes of one proxy share."""
     return Path(tempfile.gettempdir())
 
 
-def is_own_process(sock: socket.socket) -> bool:
-    """Whether the other end is a process of this user."""
+def is_same_user(sock: socket.socket) -> bool:
+    """Whether the process at the other end runs as the same user as this one."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
     uid: int = struct.unpack("3i", credentials)[1]
     return uid == os.geteuid()
 
 
 class RestartSocket:
-    """The address of that socket: who listens there is the process that serves."""
+    """The address of the restart socket; the process that listens on it is the serving one."""
 
     def __init__(self, folder: Path, proxy_name: str, listen: str) -> None:
         self.folder = folder
@@ -46,7 +46,7 @@
 
     @contextlib.contextmanager
     def _short_path(self, file_name: str) -> Iterator[str]:
-        """A path short enough for the address of a unix socket, however long the folder's path is."""
+        """A path within the length limit of unix socket addresses, however long the folder's path is."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             yield f"/proc/self/fd/{descriptor}/{file_name}"
@@ -54,11 +54,11 @@
             os.close(descriptor)
 
     def listen(self) -> socket.socket:
-        """Listen here, in place of whoever did; raises OSError."""
+        """Listen on the address, in place of any earlier process; raises OSError."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            # Bound under another name and renamed once it listens: nobody can connect to a socket that does
-            # not listen yet or that others may open.
+            # Bound under another name and renamed once it listens, so that nobody can connect before it
+            # listens, or open it before its mode excludes other users.
             temporary = f"{self.file_name}.{os.getpid()}"
             with contextlib.suppress(FileNotFoundError):
                 os.unlink(self.folder / temporary)
@@ -76,15 +76,15 @@
         return sock
 
     def connect(self) -> socket.socket | None:
-        """Connect to the process that listens here; None if there is none, or it is another user's."""
+        """Connect to the process that listens; None if there is none, or it runs as another user."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         try:
             with self._short_path(self.file_name) as path:
                 sock.connect(path)
-            if is_own_process(sock):
+            if is_same_user(sock):
                 return sock
         except OSError:
-            pass  # no process, or a file that one has left: this is an ordinary start
+            pass  # no process, or only the stale file of one: an ordinary start
         sock.close()
         return None
