--- a/arrowseam/workers/__init__.py
+++ b/arrowseam/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Processes beside the proxy's own, for work that may block or take long."""
+"""Child processes for work that may block or take long."""
--- a/arrowseam/workers/process.py
+++ b/arrowseam/workers/process.py
@@ -1,6 +1,6 @@
-"""A worker process that does blocking work, asked and answering in lines over a socket.
+"""A worker process for blocking work, with requests and replies as lines over a socket.
 
-The event loop never waits for it. What the lines mean is up to the user.
+The event loop never waits for it. The caller defines what the lines mean.
 """
 
 from __future__ import annotations
@@ -28,74 +28,76 @@
 
 
 def worker_environment() -> dict[str, str]:
-    """Of this process, with a path on which the package is found wherever the proxy was started."""
+    """The environment of this process, with the package's root on ``PYTHONPATH``, whatever the folder."""
     path = os.environ.get("PYTHONPATH")
     return os.environ | {"PYTHONPATH": f"{ROOT}{os.pathsep}{path}" if path else ROOT}
 
 
 class WorkerEndedError(ArrowseamError):
-    """The worker has ended, or did not answer in time; it is closed."""
+    """The worker has ended or did not answer in time, and was killed."""
 
 
 class WorkerProcess:
-    """One process; the coroutine that asks it becomes the owner of its socket."""
+    """One worker process; the coroutine that uses it becomes the owner of its socket."""
 
-    def __init__(self, loop: EventLoop, module: str, quiet: bool = False, argument: str = "") -> None:
-        """Start ``python -m module [argument]``; ``quiet``: its standard error is dropped. Raises OSError."""
+    def __init__(
+        self, loop: EventLoop, module: str, discard_stderr: bool = False, argument: str = ""
+    ) -> None:
+        """Start ``python -m module [argument]`` in a child process; raises OSError."""
         self.loop = loop
-        ours, theirs = socket.socketpair()
+        own_end, worker_end = socket.socketpair()
         try:
             self.process: subprocess.Popen[bytes] = subprocess.Popen(
                 [*module_command(module), *([argument] if argument else [])],
-                stdin=theirs.fileno(),
-                stdout=theirs.fileno(),
-                stderr=subprocess.DEVNULL if quiet else None,
+                stdin=worker_end.fileno(),
+                stdout=worker_end.fileno(),
+                stderr=subprocess.DEVNULL if discard_stderr else None,
                 env=worker_environment(),
                 cwd=ROOT,
             )
         except OSError:
-            ours.close()
+            own_end.close()
             raise
         finally:
-            theirs.close()
-        self.conn = Connection(loop, ours, loop.current_task, LINE_BYTES_MAX)
+            worker_end.close()
+        self.conn = Connection(loop, own_end, loop.current_task, LINE_BYTES_MAX)
 
     @property
     def pid(self) -> int:
-        """The id of the process."""
+        """The process id."""
         return self.process.pid
 
     def send_line(self, line: bytes, deadline: int) -> Coroutine[None]:
         """Write one line, which ends in a newline; raises WorkerEndedError."""
         self.conn.owner = self.loop.current_task
         if not (yield from self.conn.send(line, deadline)):
-            self._fail("does not take what it is asked")
+            self._fail("did not accept a request")
 
     def receive_line(self, deadline: int) -> Coroutine[bytes]:
-        """The next line that it writes; raises WorkerEndedError."""
+        """Read the next line that the worker writes; raises WorkerEndedError."""
         self.conn.owner = self.loop.current_task
         line = yield from self.conn.read_line(LINE_BYTES_MAX, deadline)
         if line is None:
-            self._fail("has not answered in time" if clock() >= deadline else "has ended")
+            self._fail("did not answer in time" if clock() >= deadline else "has ended")
         assert line is not None
         return line
 
-    def _fail(self, why: str) -> None:
+    def _fail(self, reason: str) -> None:
         code = self.process.poll()
         self.kill()
-        raise WorkerEndedError(why if code is None else f"has ended with {code}")
+        raise WorkerEndedError(reason if code is None else f"has ended with status {code}")
 
     @property
     def has_ended(self) -> bool:
-        """Whether it has ended, as far as is known; lines that it wrote before may still be unread."""
+        """Whether the worker is known to have ended; lines that it wrote before may still be unread."""
         return self.conn.peer_closed
 
     def disconnect(self) -> None:
-        """Ask nothing more; it ends by itself once it is done with what it was asked."""
+        """Close the connection; the worker ends by itself once it has completed its requests."""
         self.conn.close()
 
     def kill(self) -> None:
-        """Kill it. The exit status is collected when the next one is started."""
+        """Kill the process. Its exit status is collected when the next worker is started."""
         self.conn.close()
         if self.process.poll() is None:
             with contextlib.suppress(OSError):
--- a/arrowseam/workers/script.py
+++ b/arrowseam/workers/script.py
@@ -1,6 +1,6 @@
-"""Has an operator file evaluated by a process of its own: at the start, which waits, and at reloads.
+"""Evaluates an operator file in a child process: blocking at the start, in the background at reloads.
 
-The script itself never runs here (``arrowseam/config/script.py``).
+The script itself never runs in the proxy's process (``arrowseam/config/script.py`` runs it).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 )
 
 SCRIPT_MODULE = "arrowseam.config.script"
-EVALUATION_TIMEOUT_MS = 4000  # the script's own 2 s and the start of its process
+EVALUATION_TIMEOUT_MS = 4000  # the script's own limit of 2 s, and the start of its process
 
 
 def _request_line(path: str, config: Config) -> bytes:
@@ -44,17 +44,17 @@
             return operator.decode(bytes(answer["operator"]))
         error_text: str = msgspec.json.decode(answer["error"], type=str)
     except (msgspec.MsgspecError, KeyError):
-        raise ConfigError(f"operator file: {Path(path).name}: its evaluation broke off") from None
+        raise ConfigError(f"operator file: {Path(path).name}: its evaluation gave no valid answer") from None
     raise ConfigError(f"operator file: {error_text}")
 
 
-def _evaluation_ended(path: str, why: str) -> ConfigError:
-    # A script that fills memory is ended by a signal; one that outruns its own deadline, by the timeout here.
-    return ConfigError(f"operator file: {Path(path).name}: its evaluation {why}; endless, or out of memory")
+def _evaluation_ended(path: str, reason: str) -> ConfigError:
+    # A script that exhausts memory is killed by a signal; one that exceeds its own deadline, by our timeout.
+    return ConfigError(f"operator file: {Path(path).name}: its evaluation {reason}; endless or out of memory")
 
 
 def evaluate(path: str, config: Config) -> operator.Operator:
-    """What the file sets up; waits for it. Raises ConfigError."""
+    """Return what the file configures; blocks until it is evaluated. Raises ConfigError."""
     try:
         finished = subprocess.run(
             module_command(SCRIPT_MODULE),
@@ -66,16 +66,16 @@
             cwd=ROOT,
         )
     except subprocess.TimeoutExpired:
-        raise _evaluation_ended(path, "has not answered in time") from None
+        raise _evaluation_ended(path, "did not answer in time") from None
     if finished.returncode:
-        raise _evaluation_ended(path, f"has ended with {finished.returncode}")
+        raise _evaluation_ended(path, f"has ended with status {finished.returncode}")
     return _decode_answer(path, finished.stdout)
 
 
 def evaluate_in_background(loop: EventLoop, path: str, config: Config) -> Coroutine[operator.Operator]:
-    """The same for a coroutine; the event loop goes on meanwhile. Raises ConfigError."""
+    """Like ``evaluate``, but as a coroutine that does not block the event loop. Raises ConfigError."""
     try:
-        worker = WorkerProcess(loop, SCRIPT_MODULE, quiet=True)
+        worker = WorkerProcess(loop, SCRIPT_MODULE, discard_stderr=True)
     except OSError as error:
         raise ConfigError(f"operator file: cannot be evaluated: {error}") from None
     try:
