--- a/tests/test_cordon_file.py
+++ b/tests/test_cordon_file.py
@@ -1,4 +1,4 @@
-"""What the file of cordons takes in, and what a process that crashed and starts again has out by it."""
+"""The cordon file holds only what operators have cordoned, not what is cordoned by a drain."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DrainingCluster:
-    """A cluster in which ``drained`` are out by a drain, and ``cordoned`` by hand at all proxies."""
+    """A cluster in which a rollout drains ``drained``, and operators have cordoned ``cordoned``."""
 
     def __init__(self, drained: set[str], cordoned: set[str]) -> None:
         self.drained, self.cordoned = drained, cordoned
@@ -26,26 +26,28 @@
 
 
 @pytest.mark.parametrize(
-    ("drained", "by_hand", "orders", "kept"),
+    ("drained", "cordoned", "commands", "saved"),
     [
-        pytest.param({"s0"}, set(), ["cordon s1"], ["s1"], id="a drained one"),
-        pytest.param({"s0"}, {"s0"}, ["cordon s1"], ["s0", "s1"], id="drained, and cordoned by hand before"),
-        pytest.param({"s0"}, set(), ["cordon s0"], ["s0"], id="drained, and now cordoned by hand"),
-        pytest.param(set(), set(), ["cordon s1", "cordon s2", "uncordon s1"], ["s2"], id="by hand only"),
+        pytest.param({"s0"}, set(), ["cordon s1"], ["s1"], id="drained only"),
+        pytest.param({"s0"}, {"s0"}, ["cordon s1"], ["s0", "s1"], id="cordoned, then drained"),
+        pytest.param({"s0"}, set(), ["cordon s0"], ["s0"], id="drained, then cordoned"),
+        pytest.param(set(), set(), ["cordon s1", "cordon s2", "uncordon s1"], ["s2"], id="cordoned only"),
     ],
 )
-def test_what_is_out_by_a_drain_only_is_not_kept_over_a_crash(
-    tmp_path: Path, drained: set[str], by_hand: set[str], orders: list[str], kept: list[str]
+def test_an_endpoint_that_is_only_drained_is_not_saved(
+    tmp_path: Path, drained: set[str], cordoned: set[str], commands: list[str], saved: list[str]
 ) -> None:
-    """An endpoint that was undrained while the proxy was down stayed out at it, by the file, for ever."""
+    """If the file held drained endpoints, one whose drain ended while the proxy was down would stay cordoned
+    at this proxy for ever.
+    """
     world = World("lines", "up", "up", "up")
-    world.proxy.cluster = DrainingCluster(drained, by_hand)
+    world.proxy.cluster = DrainingCluster(drained, cordoned)
     cordon_file = CordonFile(tmp_path, "n0", "127.0.0.1:1")
     restart = ProxyHotRestart(world.proxy, RestartSocket(tmp_path, "n0", "127.0.0.1:1"), cordon_file)
     for endpoint in drained:
         world.driver.cordon_by_name(endpoint, True)
-    for order in orders:
-        assert world.control(order.encode() + b"\n") == b"ACK\n"
-    assert sorted(cordon_file.load()) == kept
-    assert set(restart.export_state().cordoned) <= set(kept)
+    for command in commands:
+        assert world.control(command.encode() + b"\n") == b"ACK\n"
+    assert sorted(cordon_file.load()) == saved
+    assert set(restart.export_state().cordoned) <= set(saved)
     world.close()
