--- a/arrowseam/hot_restart/channel.py
+++ b/arrowseam/hot_restart/channel.py
@@ -23,7 +23,7 @@
 from arrowseam.net.task import Coroutine
 
 LINE_BYTES_MAX = 65536
-DESCRIPTOR_COUNT_INTERVAL = 100 * MS  # least time between two reports of the number of descriptors
+DESCRIPTOR_COUNT_INTERVAL = 100 * MS  # between two checks whether the number of descriptors has changed
 
 
 class DescriptorConnection(Connection):
--- a/arrowseam/hot_restart/hot_restart.py
+++ b/arrowseam/hot_restart/hot_restart.py
@@ -104,7 +104,7 @@
     # --- as the new process ---
 
     def take_over(self, offer: HandoverOffer) -> None:
-        """Complete the handover, now that all listeners of this process accept.
+        """Continue the handover, now that all listeners of this process accept.
 
         Notifies the old process, and continues the connections that it hands over.
         """
