--- a/arrowseam/membership/__init__.py
+++ b/arrowseam/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Cluster membership: which proxies run, which endpoints are cordoned, and how many proxies share a budget.
+"""Cluster membership: running proxies, cordoned endpoints, and the number of proxies that share a budget.
 
-``view.py`` holds the view of one proxy, a state machine without I/O whose parts are a module each;
-``runtime.py`` runs it on the event loop.
+``view.py`` holds one proxy's view of the cluster, a state machine without I/O with one module for each of its
+components; ``runtime.py`` runs it on the event loop.
 """
--- a/arrowseam/membership/cordons.py
+++ b/arrowseam/membership/cordons.py
@@ -1,7 +1,7 @@
-"""Cluster-wide cordons, replicated as two timestamps an endpoint and merged by taking the larger of each.
+"""Cluster-wide cordons, replicated as two timestamps per endpoint and merged by taking the larger of each.
 
 An uncordon names the cordon that it lifts. So a cordon is never lost to an uncordon whose author did not know
-of it, nor to a member that has not heard of either.
+of it, nor to a member that has received neither.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from arrowseam.membership.hybrid_clock import HybridLogicalClock
 from arrowseam.membership.records import NAME_MAX, Number, fingerprint
 
-CORDONS_MAX = 4096  # entries; one more is not replicated
-MARKS_RESERVED = 64  # of them, for marks: a halt is possible where cordons are refused
-# Of the name of a mark: an entry that is no endpoint but spreads like one. ``!release-N`` announces a halt.
+CORDONS_MAX = 4096  # entries; further ones are not replicated
+MARKS_RESERVED = 64  # of these, reserved for marks: a halt is still possible when new cordons are refused
+# Prefix of marks: entries replicated like cordons that name no endpoint. ``!release-N`` announces a halt.
 MARK_PREFIX = "!"
 
 
@@ -25,14 +25,14 @@
 
 
 class Cordon(msgspec.Struct, array_like=True, frozen=True):
-    """One endpoint: its latest cordon and the latest cordon that was lifted, by timestamp and author."""
+    """State of one endpoint: its latest cordon and the latest lifted cordon, by timestamp and author."""
 
     endpoint: EndpointName
     cordoned_at: Number
     cordoned_by: Author
     lifted_at: Number = 0  # timestamp and author of the latest cordon that was lifted
     lifted_of: Author = ""
-    lifted_by: Author = ""
+    lifted_by: Author = ""  # the author of the uncordon
 
     @property
     def is_cordoned(self) -> bool:
@@ -40,7 +40,7 @@
         return (self.cordoned_at, self.cordoned_by) > (self.lifted_at, self.lifted_of)
 
     def merged(self, other: Cordon) -> Cordon:
-        """Return the state after both updates, whichever came first."""
+        """Return the state after both updates, in either order."""
         latest = max((self, other), key=lambda c: (c.cordoned_at, c.cordoned_by))
         lifted = max((self, other), key=lambda c: (c.lifted_at, c.lifted_of, c.lifted_by))
         return Cordon(
@@ -54,7 +54,7 @@
 
 
 class CordonSet:
-    """The cordons of all endpoints, with the clock that orders them and a digest to compare sets by."""
+    """The cordons of all endpoints, with the clock that orders them and a digest for comparing sets."""
 
     def __init__(self) -> None:
         self.clock = HybridLogicalClock()
@@ -66,16 +66,16 @@
         return sorted(name for name, cordon in self.by_endpoint.items() if cordon.is_cordoned)
 
     def has_room_for(self, name: str) -> bool:
-        """Return whether an endpoint or a mark is known, or may still be added by our operator."""
+        """Return whether our operator may set this endpoint or mark: it is known, or there is room for it."""
         reserved = 0 if name.startswith(MARK_PREFIX) else MARKS_RESERVED
         return name in self.by_endpoint or len(self.by_endpoint) < CORDONS_MAX - reserved
 
     def set_locally(
         self, endpoint: str, cordoned: bool, author: str, wall_ms: int, renew: bool = False
     ) -> Cordon | None:
-        """Cordon or uncordon as our operator says. None if that changes nothing, or the set is full.
+        """Cordon or uncordon for our operator. None if that changes nothing, or the set is full.
 
-        ``renew`` gives a cordon that stands a new timestamp: what was decided by the old one binds it not.
+        ``renew`` gives a cordon in force a new timestamp: decisions that refer to the old one do not apply.
         """
         known = self.by_endpoint.get(endpoint)
         if cordoned == (known is not None and known.is_cordoned) and not (cordoned and renew):
@@ -96,7 +96,7 @@
         return self.merge(update)
 
     def merge(self, update: Cordon) -> Cordon | None:
-        """Merge one update; return what holds now, or None if that changed nothing."""
+        """Merge one update; return the resulting cordon, or None if nothing changed."""
         known = self.by_endpoint.get(update.endpoint)
         if known is None and len(self.by_endpoint) >= CORDONS_MAX:
             return None
@@ -112,7 +112,7 @@
 
 
 def cordon_fingerprint(cordon: Cordon) -> int:
-    """Return what a cordon adds to the digest of a set."""
+    """Return the contribution of a cordon to the digest of a set."""
     return fingerprint(
         "cordon",
         cordon.endpoint,
--- a/arrowseam/membership/digests.py
+++ b/arrowseam/membership/digests.py
@@ -1,7 +1,7 @@
-"""Comparison of two views without sending either: digests by bucket, and who holds an equal digest.
+"""Digests by which views are compared without sending them: per bucket, and the members with an equal digest.
 
-Comparison by digests of ranges: Demers and others, "Epidemic Algorithms for Replicated Database Maintenance",
-1987; a Merkle tree of one level.
+The bucket digests form a Merkle tree of one level. Comparison by digests of ranges: Demers and others,
+"Epidemic Algorithms for Replicated Database Maintenance", 1987.
 """
 
 from __future__ import annotations
@@ -15,58 +15,58 @@
 from arrowseam.membership.records import MemberRecord, fingerprint
 
 ALL_HOLDERS = b"f"
-BITMAP_PREFIX = b"s"  # followed by a bit a name, in the order of the names, the lowest bit first
-BITMAP_NAMES_MAX = 2_048  # 256 bytes of a datagram
+BITMAP_PREFIX = b"s"  # followed by one bit per name, in the order of the names, lowest bit first
+BITMAP_NAMES_MAX = 2_048  # a bitmap takes at most 256 bytes of a datagram
 BUCKETS_CACHED = 4096
 
 
 @lru_cache(BUCKETS_CACHED)
 def bucket_of(name: str) -> int:
-    """Return the bucket of a member's name, the same at all members."""
+    """Return the bucket of a member's name; all members compute the same."""
     return blake2b(name.encode(), digest_size=2).digest()[0] % BUCKET_COUNT
 
 
 class BucketDigests:
-    """A digest of all records of the names of each bucket, whatever their state."""
+    """For each bucket, a digest of all records whose names belong to it, whatever their state."""
 
     def __init__(self) -> None:
         self.digests = [0] * BUCKET_COUNT
         self._bucket_by_name: dict[str, int] = {}
 
     def copy(self) -> BucketDigests:
-        """Return digests that change independently."""
+        """Return an independent copy."""
         copied = BucketDigests()
         copied.digests, copied._bucket_by_name = list(self.digests), dict(self._bucket_by_name)
         return copied
 
     def bucket(self, name: str) -> int:
-        """Return the bucket of a name."""
+        """Return the bucket of a name, cached for the names of this view."""
         found = self._bucket_by_name.get(name)
         if found is None:
             found = self._bucket_by_name[name] = bucket_of(name)
         return found
 
     def toggle(self, record: MemberRecord) -> None:
-        """Add a record, or remove it again."""
+        """Add a record to its bucket's digest, or remove it again."""
         self.digests[self.bucket(record.name)] ^= fingerprint("said", record.name, *record.precedence)
 
     def forget(self, record: MemberRecord) -> None:
-        """Remove a record whose name is dropped."""
+        """Remove a record and the cached bucket of its name."""
         self.toggle(record)
         self._bucket_by_name.pop(record.name, None)
 
     def differing(self, others: list[int]) -> set[int]:
-        """Return the buckets that differ; all, if the other side divides names in another way."""
+        """Return the buckets that differ; all of them if the other side uses another number of buckets."""
         if len(others) != BUCKET_COUNT:
             return set(range(BUCKET_COUNT))
         return {n for n in range(BUCKET_COUNT) if others[n] != self.digests[n]}
 
 
 class DigestHolders:
-    """Which members are known to hold our present digest, a bit for each in the order of the names.
+    """Bitmap of the members known to have our current digest, in the order of their names.
 
-    A member with an equal digest holds the same processes of the same members, ours among them: that is as
-    good as its answer to us.
+    A member with an equal digest knows the same processes, including ours: that is as good as an answer to
+    one of our pings.
     """
 
     def __init__(self, name: str) -> None:
@@ -75,7 +75,7 @@
         self._bits = self._all_bits = 1
 
     def reset(self, digest: int, names: Iterable[str], own_name: str) -> None:
-        """Begin anew for another digest, which only we are known to hold."""
+        """Start again with another digest, which only we are known to have."""
         self.digest = digest
         self._names = sorted(names)
         self._all_bits = (1 << len(self._names)) - 1
@@ -84,11 +84,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all members hold it."""
+        """Whether all members have the digest."""
         return self._bits == self._all_bits
 
     def add(self, name: str) -> bool:
-        """Note a holder; return whether that was not known."""
+        """Add a holder; return whether it is a new one."""
         at = bisect_left(self._names, name)
         if at == len(self._names) or self._names[at] != name:
             return False
@@ -97,7 +97,7 @@
         return is_new
 
     def merge(self, encoded: bytes) -> list[str]:
-        """Note the holders that another holder knows of; return the names that were not known here."""
+        """Merge the holders known to another holder; return the names that are new here."""
         if encoded == ALL_HOLDERS:
             bits = self._all_bits
         elif encoded[:1] == BITMAP_PREFIX:
--- a/arrowseam/membership/dissemination.py
+++ b/arrowseam/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Messages to members of our zone: gossip on each of them, and pushes of updates that cannot wait."""
+"""Messages to members of our zone: gossip piggybacked on each of them, and pushes of urgent updates."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from arrowseam.membership.view import ClusterView
 
-PUSH_RECEIVERS = 4
-PUSH_DELAY = 20 * MS  # updates of so long go out together
+PUSH_FANOUT = 4
+PUSH_DELAY = 20 * MS  # updates of this period are sent together
 PUSH_GAP = 100 * MS  # between two pushes
-CORDONS_TRIED = 40  # for one datagram, which holds no more of them
-ARRAY_HEADERS = 16  # bytes that the arrays of a datagram may grow by when they are filled
+CORDONS_SAMPLED = 40  # for one datagram, which has room for no more than that
+ARRAY_HEADERS = 16  # bytes by which the array headers of a datagram may grow when the arrays are filled
 SENDS_HEARTBEATS = (MessageKind.PING, MessageKind.PUSH)
 
 
 class Dissemination:
-    """Composes and sends messages; owns what is still to be passed on."""
+    """Composes and sends messages; owns the queues of updates still to be sent."""
 
     def __init__(self, view: ClusterView) -> None:
         self.view, self.context, self.members = view, view.context, view.members
@@ -49,7 +49,7 @@
         recognised: bool = True,
         with_gossip: bool = True,
     ) -> Datagram:
-        """Return a message with as much gossip as fits; ``first`` goes before all other updates."""
+        """Return a message with as much gossip as fits; ``first`` is placed before all other updates."""
         zones, has_heartbeats = self.view.zones, kind in SENDS_HEARTBEATS
         bare = Datagram(
             codec.VERSION,
@@ -87,7 +87,7 @@
         return len(data)
 
     def ping(self, target: MemberRecord, number: int | None = None, with_gossip: bool = True) -> int:
-        """Ping a member; return the number of the ping. A suspect is told first what is said of it."""
+        """Ping a member; return the ping's number. A suspect is sent its own record so that it can refute."""
         number = self.context.next_number() if number is None else number
         suspected = target.state is not State.ALIVE and self.context.settings.lifeguard
         first = target if suspected else None
@@ -95,9 +95,9 @@
         return number
 
     def send_cordons(self, target: MemberRecord) -> None:
-        """Send the heartbeats of the zones, and cordons by lot, as many as fit, whether they are news or not.
+        """Send the zone heartbeats and a random selection of all cordons, as many as fit.
 
-        What is queued is passed on a few times and may have left the queue long ago.
+        The gossip queue is not enough: an update leaves it after a few transmissions.
         """
         bare = self.compose(MessageKind.PUSH, 0, with_gossip=False)
         room = codec.DATAGRAM_MAX - len(codec.encode_datagram(bare)) - ARRAY_HEADERS
@@ -105,7 +105,7 @@
         if not known and not self.view.zones.others:
             return
         cordons = []
-        for cordon in self.context.random.sample(known, min(len(known), CORDONS_TRIED)):
+        for cordon in self.context.random.sample(known, min(len(known), CORDONS_SAMPLED)):
             room -= codec.encoded_size(cordon)
             if room < 0:
                 break
@@ -114,8 +114,8 @@
 
     # --- pushes ---
 
-    def spread_cordon(self, cordon: Cordon) -> None:
-        """Pass a cordon on at once, in our zone and to the others."""
+    def disseminate_cordon(self, cordon: Cordon) -> None:
+        """Forward a cordon at once, within our zone and to the others."""
         self.queue.add(cordon)
         if self.view.zones.others:
             self.cross_zone_queue.add(cordon)
@@ -123,21 +123,21 @@
         self.schedule_push()
 
     def schedule_push(self) -> None:
-        """Push what is queued soon."""
+        """Schedule a push of the queued updates."""
         if not self.push_scheduled:
             self.push_scheduled = True
             at = max(self.context.now + PUSH_DELAY, self._pushed_at + PUSH_GAP)
             self.context.timers.schedule(at, self.on_push_timer)
 
     def on_push_timer(self) -> None:
-        """Send what is queued to some members; cordons go whatever the budget."""
+        """Send queued updates to some members; cordons are sent regardless of the traffic budget."""
         self.push_scheduled = False
         crosses_zones, self._push_crosses_zones = self._push_crosses_zones, False
         self.budget.refill(self.context.now)
         if self.context.leaving or (not crosses_zones and self.budget.push_allowance <= 0):
             return
         self._pushed_at = self.context.now
-        for record in self.members.sample(PUSH_RECEIVERS, self.context.random):
+        for record in self.members.sample(PUSH_FANOUT, self.context.random):
             self.budget.push_allowance -= self.send(record.address, self.compose(MessageKind.PUSH, 0))
         if crosses_zones:
             self.view.bridges.on_cordon_push()
--- a/arrowseam/membership/effects.py
+++ b/arrowseam/membership/effects.py
@@ -1,4 +1,4 @@
-"""What a view asks of the process that runs it, and the events that it logs."""
+"""The effects that a view returns for its process to carry out, and the events that it logs."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class OpenStream(msgspec.Struct, frozen=True):
-    """Connect, send, read one frame; the outcome goes to ``ClusterView.on_stream_closed``."""
+    """Connect, send one frame and read one; the outcome goes to ``ClusterView.on_stream_closed``."""
 
     token: int
     address: Address
@@ -45,7 +45,7 @@
 
 
 class LogEvent(msgspec.Struct, frozen=True):
-    """A line for the log."""
+    """Write a log record."""
 
     event: MembershipEvent
     text: str
@@ -54,7 +54,7 @@
 
 
 class CordonChanged(msgspec.Struct, frozen=True):
-    """An endpoint was cordoned or uncordoned by another member."""
+    """Another member cordoned or uncordoned an endpoint."""
 
     endpoint: str
     cordoned: bool
--- a/arrowseam/membership/evidence.py
+++ b/arrowseam/membership/evidence.py
@@ -1,8 +1,8 @@
-"""Evidence about other processes, and the share of the budgets that follows from it.
+"""First-hand evidence about other processes, and our share of the budgets that follows from it.
 
-A member is counted out only by evidence of our own that its process has ended, and it takes the same kind of
-evidence to know that another member has not counted us out. Silence is neither: in a partition both sides
-would count the other out and the shares would exceed the budget.
+A member is counted out (its share is redistributed) only on first-hand evidence that its process has ended,
+and only first-hand evidence shows that another member has not counted us out. Silence is evidence of neither:
+in a partition each side would count the other out, and the shares would exceed the budget.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 
 
 class EvidenceTracker:
-    """Who has answered us and whose address refused us, in the present process."""
+    """Processes that have answered our current process, and processes whose address refused a stream."""
 
     def __init__(self, view: ClusterView) -> None:
         self.view, self.context, self.members = view, view.context, view.members
         self.holders = DigestHolders(view.members.me.name)
         self.acked: set[ProcessId] = set()
         self.refused: set[ProcessId] = set()
-        self.confirmed: set[str] = set()  # names that can't count out our present process
+        self.confirmed: set[str] = set()  # names that cannot have counted out our current process
         self.counted_out: set[str] = set()
-        self.complete = False  # all configured members are known and confirmed; stays until our next process
+        self.complete = False  # all configured members are known and confirmed; latched until ``reset``
 
     # --- evidence ---
 
     def has_evidence(self, record: MemberRecord) -> bool:
-        """Return whether this process answered ours, was refused to us, or was written off by an operator."""
+        """Return whether the process answered us, its host refused a stream, or it was declared left."""
         process = record.process_id
-        written_off = record.state is State.LEFT and record.reported_by != ""
-        return process in self.acked or process in self.refused or written_off
+        declared_left = record.state is State.LEFT and record.reported_by != ""
+        return process in self.acked or process in self.refused or declared_left
 
-    def judge(self, name: str) -> None:
-        """Decide anew whether a name is counted out, and whether it may have counted us out.
+    def reevaluate(self, name: str) -> None:
+        """Update whether a name is counted out, and whether it may have counted us out.
 
-        A name stays confirmed for our present process: a later process under that name has not met our former
-        one, so it cannot count that one out.
+        A name stays confirmed for our current process: a later process under that name has never known our
+        previous one, so it cannot count that one out.
         """
         record = self.members.records.get(name)
         if record is None:
@@ -59,19 +59,19 @@
             self.counted_out.discard(name)
 
     def on_answer(self, record: MemberRecord) -> None:
-        """Note that a process has answered our present one: it holds us for a member."""
+        """Record that a process has answered our current one, so it knows us as a member."""
         known, process = self.members.records.get(record.name), record.process_id
         if known is not None and process not in self.acked and known.process_id == process:
             self.acked.add(process)
-            self.judge(record.name)
+            self.reevaluate(record.name)
 
     def on_refusal(self, record: MemberRecord) -> None:
-        """Note that a process's host refused a stream to its address."""
+        """Record that the host of a process refused a stream to its address."""
         self.refused.add(record.process_id)
-        self.judge(record.name)
+        self.reevaluate(record.name)
 
     def on_equal_digest(self, sender: MemberRecord, encoded_holders: bytes) -> None:
-        """Note that a sender holds what we hold, our own process too, and so do those that it names."""
+        """Record that the sender and the holders that it lists have our digest, and so know our process."""
         holders = self.current_holders()
         if holders.add(sender.name):
             self.on_answer(sender)
@@ -81,7 +81,7 @@
                 self.on_answer(record)
 
     def current_holders(self) -> DigestHolders:
-        """Return who is known to hold our digest, begun anew where that has changed."""
+        """Return the known holders of our digest, reset if the digest has changed."""
         digest = self.view.digest
         if self.holders.digest != digest:
             own_name = self.members.me.name
@@ -89,12 +89,12 @@
         return self.holders
 
     def forget_process(self, process: ProcessId) -> None:
-        """Drop the evidence about a process whose name another one has now."""
+        """Drop the evidence about a process whose name is now used by another process."""
         self.acked.discard(process)
         self.refused.discard(process)
 
     def reset(self) -> None:
-        """Drop all evidence: our own process has another start time or name, which nobody has answered."""
+        """Drop all evidence: our process has a new start time or name, which no member has answered yet."""
         self.acked.clear()
         self.refused.clear()
         self.confirmed.clear()
@@ -102,7 +102,7 @@
         self.complete = False
 
     def update_complete(self) -> None:
-        """Look whether all configured members are known and confirmed."""
+        """Check whether all configured members are known and confirmed."""
         if not self.complete and not self.context.leaving and self.members.known_count >= self.configured:
             self.complete = all(name in self.confirmed for name in self.members.ring.names)
 
@@ -110,24 +110,24 @@
 
     @property
     def counted_out_count(self) -> int:
-        """Names that have ended, by evidence of our own."""
+        """Number of names that have ended by first-hand evidence."""
         return len(self.counted_out)
 
     @property
     def unconfirmed_count(self) -> int:
-        """Names that may have counted us out, with those that are configured and unknown."""
+        """Number of names that may have counted us out, including configured members that are unknown."""
         others = max(self.configured, self.members.known_count) - 1
         return others if self.context.leaving else others - len(self.confirmed)
 
     @property
     def configured(self) -> int:
-        """Members configured in our zone, or in the cluster where there are no zones."""
+        """Number of members configured in our zone, or in the cluster if it has no zones."""
         zone = self.view.zones.by_name.get(self.context.settings.zone)
         return self.context.settings.configured_members if zone is None else zone.size
 
     @property
     def never_counts_out(self) -> bool:
-        """Whether nobody is counted out: configured so, or while only some members have zones."""
+        """Whether no member is counted out: by configuration, or while only some members have zones."""
         return self.context.settings.never_count_out or bool(self.members.zone_mismatches)
 
     def proxy_count(self, rule: Callable[..., int] = proxy_count) -> int:
@@ -135,7 +135,7 @@
         configured, known = self.configured, self.members.known_count
         numbers = configured, known, self.counted_out_count, self.unconfirmed_count
         if self.never_counts_out:
-            # Others may go by another rule or other sizes: what an unconfirmed member costs there is unknown.
+            # Others may use another rule or other sizes: assume the full cost if any member is unconfirmed.
             others = max(configured, known) - 1
             numbers = configured, known, 0, others if self.unconfirmed_count else 0
         settings, zones = self.context.settings, self.view.zones
--- a/arrowseam/membership/failure_detector.py
+++ b/arrowseam/membership/failure_detector.py
@@ -1,8 +1,8 @@
 """SWIM's failure detector with Lifeguard's local health.
 
-Each interval one member is pinged. Without an answer in time others are asked to ping it, and a stream is
-opened to its address; without an answer from any of these it is suspected. A member that fails to hear from
-others slows its own probes down first: the fault may be its own.
+In each interval one member is pinged. If it does not answer in time, other members are asked to ping it and a
+stream is opened to its address; if none of these brings an answer, it is suspected. A member that misses
+answers first slows its own probes down: the fault may be its own.
 
 Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
 2002; Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2017.
@@ -22,9 +22,9 @@
 if TYPE_CHECKING:
     from arrowseam.membership.view import ClusterView
 
-HEALTH_MAX = 8  # Lifeguard's S: probes are slowed down by one more than this at most
-AFTER_PROOF = 10 * MS  # until the next probe, where the last member has ended: many may have, at once
-GREETED_FIRST, GREETED_LATER = 20, 4  # members greeted in the first interval, and in each later one
+HEALTH_MAX = 8  # Lifeguard's S: probe intervals are multiplied by at most one more than this
+DELAY_AFTER_ENDED = 10 * MS  # until the next probe if the probed process has ended: many may end at once
+STARTUP_PINGS_FIRST, STARTUP_PINGS_LATER = 20, 4  # extra pings in the first interval, and in each later one
 ROUND_TRIPS_KEPT = 256
 
 
@@ -34,63 +34,63 @@
     number: int
     target: MemberRecord
     sent_at: int
-    nacks_due: int = 0
+    nacks_due: int = 0  # members asked for an indirect probe
     nacks: int = 0
 
 
 class RelayedProbe(msgspec.Struct):
-    """A probe made for another member."""
+    """A probe made on behalf of another member."""
 
     requester: MemberRecord
     number: int  # of the requester's probe
 
 
 class FailureDetector:
-    """Probes one member an interval, answers for others, and knows how far to trust itself."""
+    """Probes one member per interval, probes members for others, and tracks our own local health."""
 
     def __init__(self, view: ClusterView) -> None:
         self.view, self.context, self.members = view, view.context, view.members
         self.probe: Probe | None = None
         self.relayed: dict[int, RelayedProbe] = {}
-        self.health = 0  # 0: as it should be
-        self.greeted = False
+        self.health = 0  # Lifeguard's local health score; 0: healthy
+        self.startup_pings_sent = False  # to some members, since our process identity last changed
         self.round_trips: deque[int] = deque(maxlen=ROUND_TRIPS_KEPT)  # microseconds, for a histogram
-        self._timer_number = 0  # of the only probe timer that counts
+        self._timer_number = 0  # of the current probe timer; earlier ones are ignored
 
     def adjust_health(self, change: int) -> None:
-        """Trust ourselves less, or more again."""
+        """Raise or lower our local health score; higher is worse."""
         if self.context.settings.lifeguard:
             self.health = max(0, min(HEALTH_MAX, self.health + change))
 
-    def on_stall(self, late: int) -> None:
-        """This process did not run for ``late`` microseconds.
+    def on_stall(self, stalled_for: int) -> None:
+        """Handle that this process did not run for ``stalled_for`` microseconds.
 
-        Otherwise a process that wakes after ten seconds finds all its probes unanswered and declares the
-        whole cluster dead: what was under way is dropped without a verdict.
+        Probes in progress are dropped without a result. Otherwise a process that resumes after ten seconds
+        would find all its probes unanswered and declare the whole cluster dead.
         """
         self.context.counters["stalls"] += 1
-        self.adjust_health(1 + late // self.context.settings.probe_interval)
+        self.adjust_health(1 + stalled_for // self.context.settings.probe_interval)
         self.probe = None
         self.relayed.clear()
-        self.view.suspicions.postpone(late)
+        self.view.suspicions.postpone(stalled_for)
 
     # --- the probe of each interval ---
 
     def schedule_probe(self, delay: int) -> None:
-        """Probe after ``delay`` microseconds, in place of the probe scheduled before."""
+        """Schedule a probe after ``delay`` microseconds, replacing the one scheduled before."""
         self._timer_number = self.context.next_number()
         self.context.timers.schedule(self.context.now + delay, self._on_probe_timer, self._timer_number)
 
     def _on_probe_timer(self, timer_number: int) -> None:
         if timer_number != self._timer_number:
             return
-        self._evaluate()
+        self._conclude_probe()
         self.probe = None
         slowdown = 1 + self.health
         self.schedule_probe(self.context.settings.probe_interval * slowdown)
         if self.context.leaving:
             return
-        self._greet()
+        self._ping_unconfirmed()
         name = self.members.ring.next(self.context.random)
         if name is None:
             return
@@ -101,20 +101,20 @@
         self.context.timers.schedule(timeout, self._on_probe_timeout, number)
         self.context.counters["probes"] += 1
 
-    def _greet(self) -> None:
-        """After a start: ping some of those that have not answered our present process."""
+    def _ping_unconfirmed(self) -> None:
+        """After a start: ping some members that have not yet answered our current process."""
         evidence, rnd = self.view.evidence, self.context.random
         if evidence.complete:
             return
         unconfirmed = [name for name in self.members.ring.names if name not in evidence.confirmed]
-        limit = GREETED_LATER if self.greeted else GREETED_FIRST
-        self.greeted = self.greeted or bool(unconfirmed)
+        limit = STARTUP_PINGS_LATER if self.startup_pings_sent else STARTUP_PINGS_FIRST
+        self.startup_pings_sent = self.startup_pings_sent or bool(unconfirmed)
         for name in rnd.sample(unconfirmed, min(limit, len(unconfirmed))):
-            # Without gossip: its choice would hold the loop up in a cluster of hundreds.
+            # Without gossip: selecting it would block the event loop in a cluster of hundreds.
             self.view.dissemination.ping(self.members.records[name], with_gossip=False)
 
     def _on_probe_timeout(self, number: int) -> None:
-        """No answer in time: ask others to probe it, and open a stream to its address."""
+        """Without an answer in time, ask others to probe the member, and open a stream to its address."""
         probe = self.probe
         if probe is None or probe.number != number:
             return
@@ -129,13 +129,13 @@
             dissemination.send(records[other].address, request)
         self.view.streams.probe(records.get(name, probe.target))
 
-    def _evaluate(self) -> None:
-        """Suspect the member of the last interval's probe, if that is still under way."""
+    def _conclude_probe(self) -> None:
+        """Suspect the member probed in the last interval if that probe is still unanswered."""
         probe = self.probe
         if probe is None:
             return
         self.context.counters["failed"] += 1
-        # Helpers that did not even report their failure mean that we are the one that is cut off or slow.
+        # Missing NACKs from the members asked for indirect probes mean that we ourselves are cut off or slow.
         self.adjust_health(max(0, probe.nacks_due - probe.nacks) if probe.nacks_due else 1)
         known = self.members.records.get(probe.target.name)
         if (
@@ -146,16 +146,16 @@
         ):
             self.view.suspicions.suspect(known, self.members.me.name)
 
-    def on_proven_ended(self, record: MemberRecord) -> None:
-        """The process has ended: a probe of it is no failure of ours, and the next follows at once."""
+    def on_process_ended(self, record: MemberRecord) -> None:
+        """Drop a probe of a process known to have ended, without a health penalty; probe the next at once."""
         if self.probe is not None and self.probe.target.process_id == record.process_id:
             self.probe = None
-            self.schedule_probe(AFTER_PROOF)
+            self.schedule_probe(DELAY_AFTER_ENDED)
 
     # --- messages ---
 
     def on_ack(self, message: Datagram) -> None:
-        """Take in an answer to a ping of ours, or to one that others made for us."""
+        """Process an answer to a ping that we sent, or that another member sent for us."""
         relayed = self.relayed.pop(message.number, None)
         if relayed is not None:
             dissemination = self.view.dissemination
@@ -175,12 +175,12 @@
             self.adjust_health(-1)
 
     def on_nack(self, message: Datagram) -> None:
-        """Note that a helper works, though the member that it probed for us has not answered."""
+        """Count that a member probing for us works, though the probed member did not answer it."""
         if self.probe is not None and self.probe.number == message.number:
             self.probe.nacks += 1
 
     def on_ping_request(self, message: Datagram, target: MemberRecord) -> None:
-        """Probe a member for another one."""
+        """Probe a member on behalf of another."""
         number = self.context.next_number()
         self.relayed[number] = RelayedProbe(message.sender, message.number)
         known = self.members.records.get(target.name)
--- a/arrowseam/membership/gossip.py
+++ b/arrowseam/membership/gossip.py
@@ -1,8 +1,8 @@
-"""The queue of updates to pass on: each goes out a few times the logarithm of the cluster's size.
+"""The gossip queue: each update is sent a small multiple of the logarithm of the cluster size times.
 
-An update replaces an earlier one about the same subject. The updates that were sent the fewest times go
-first, of these the newest, so that a flood of updates does not delay a new one. The cost of a choice depends
-on the number of updates chosen, not on the length of the queue.
+An update replaces an earlier one about the same subject. Updates with the fewest transmissions go first, the
+newest of them before the others, so that a flood of updates does not delay a new one. The cost of selecting
+updates depends on the number selected, not on the length of the queue.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from arrowseam.membership.cordons import Cordon
 from arrowseam.membership.records import MemberRecord
 
-TRANSMISSIONS_FACTOR = 3  # times the binary logarithm of the members: enough that all but surely all hear
-MISSES_MAX = 4  # updates too large for the rest of a datagram, after which it counts as full
+TRANSMISSIONS_FACTOR = 3  # times log2 of the members: enough to reach all of them with near certainty
+MISSES_MAX = 4  # updates too large for the remaining room, after which a datagram counts as full
 
 Update: TypeAlias = MemberRecord | Cordon | ZoneSummary
 Key: TypeAlias = tuple[str, str]
@@ -31,11 +31,11 @@
 
 
 class GossipQueue:
-    """Updates by subject, and their subjects by how often they were sent."""
+    """Updates by subject, and subjects by the number of transmissions."""
 
     def __init__(self) -> None:
         self.queued: dict[Key, _QueuedUpdate] = {}
-        self._levels: list[dict[Key, None]] = [{}]  # by transmissions; the newest last
+        self._levels: list[dict[Key, None]] = [{}]  # index: transmissions so far; the newest last
 
     def add(self, update: Update) -> None:
         """Queue an update in place of any earlier one about the same subject."""
@@ -50,7 +50,7 @@
         self._levels[0][key] = None
 
     def remove_member(self, name: str) -> None:
-        """Pass nothing more on about a member."""
+        """Remove the update about a member."""
         self._remove(("m", name))
 
     def _remove(self, key: Key) -> None:
@@ -77,7 +77,7 @@
         return chosen
 
     def take(self, members: int, room: int) -> tuple[list[MemberRecord], list[Cordon], list[ZoneSummary]]:
-        """Return updates for one datagram, ``room`` bytes at most, in a cluster of so many members."""
+        """Return updates for one datagram, ``room`` bytes at most; ``members``: size of the cluster."""
         limit = TRANSMISSIONS_FACTOR * math.ceil(math.log2(members + 2))
         records: list[MemberRecord] = []
         cordons: list[Cordon] = []
--- a/arrowseam/membership/hybrid_clock.py
+++ b/arrowseam/membership/hybrid_clock.py
@@ -1,4 +1,4 @@
-"""Hybrid logical clock: timestamps that follow the wall clock and never run backwards.
+"""Hybrid logical clock: timestamps that follow the wall clock and never go backwards.
 
 Kulkarni, Demirbas, Madappa, Avva, Leone: "Logical Physical Clocks", 2014.
 """
@@ -9,7 +9,7 @@
 
 
 class HybridLogicalClock:
-    """The latest timestamp issued or observed; the caller passes the wall clock in."""
+    """The latest timestamp issued or observed; the caller supplies the wall-clock time."""
 
     def __init__(self) -> None:
         self.latest = 0
@@ -20,5 +20,5 @@
         return self.latest
 
     def observe(self, timestamp: int) -> None:
-        """Note a timestamp that another clock has issued."""
+        """Advance to a timestamp issued by another clock."""
         self.latest = max(self.latest, timestamp)
--- a/arrowseam/membership/members.py
+++ b/arrowseam/membership/members.py
@@ -1,4 +1,4 @@
-"""The members of our zone as this view holds them, and the order in which they are probed."""
+"""The members of our zone as known to this view, and the order in which they are probed."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     activity_fingerprint,
 )
 
-MEMBERS_MAX = 16_384  # of a zone; updates about more are ignored
+MEMBERS_MAX = 16_384  # per zone; updates about further members are ignored
 
 
 class ProbeRing:
-    """The other active members, each once a round, in an order drawn anew each round."""
+    """The other active members, each visited once per round, in an order shuffled anew for each round."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
@@ -29,7 +29,7 @@
         rnd.shuffle(self.names)
 
     def insert(self, name: str, rnd: random.Random) -> None:
-        """Add a member at a random place."""
+        """Add a member at a random position."""
         self.names.insert(rnd.randrange(len(self.names) + 1), name)
 
     def remove(self, name: str) -> None:
@@ -39,7 +39,7 @@
         self._position -= at < self._position
 
     def next(self, rnd: random.Random) -> str | None:
-        """Return the next member to probe; None if there is no other."""
+        """Return the next member to probe; None if there are no others."""
         if not self.names:
             return None
         if self._position >= len(self.names):
@@ -51,15 +51,15 @@
 
 
 class MemberTable:
-    """Our own record and those of the others by name, with digests that are kept up with each change."""
+    """Our own record and those of the other members by name, with digests that are updated on each change."""
 
     def __init__(self, me: MemberRecord) -> None:
         self.me = me
-        self.records: dict[str, MemberRecord] = {}  # of the others
+        self.records: dict[str, MemberRecord] = {}  # of the other members
         self.state_since: dict[str, int] = {}  # microseconds
-        self.infos: dict[str, tuple[MemberInfo, int]] = {}  # with when it came
-        self.reported_digests: dict[str, int] = {}  # the digest of each member's view, as it last said
-        self.zone_mismatches: set[str] = set()  # members without a zone, or of one that is not ours
+        self.infos: dict[str, tuple[MemberInfo, int]] = {}  # with the time of receipt
+        self.reported_digests: dict[str, int] = {}  # the digest of each member's view, as last reported by it
+        self.zone_mismatches: set[str] = set()  # members without a zone or of a zone other than ours
         self.ring = ProbeRing()
         self.digest = activity_fingerprint(me)
         self.buckets = BucketDigests()
@@ -67,39 +67,39 @@
 
     @property
     def active_count(self) -> int:
-        """Members that take part, with us."""
+        """Active members, including us."""
         return len(self.ring.names) + 1
 
     @property
     def known_count(self) -> int:
-        """Names known, whatever their state, with ours."""
+        """Known names in any state, including ours."""
         return len(self.records) + 1
 
     def active_addresses(self) -> set[Address]:
-        """Return the addresses of all active members and ours."""
+        """Return the addresses of all active members, including ours."""
         return {r.address for r in self.records.values() if r.is_active} | {self.me.address}
 
     def is_foreign(self, record: MemberRecord) -> bool:
-        """Return whether it is of another zone; a member without a zone belongs to all."""
+        """Return whether a member is in another zone; a member without a zone belongs to all zones."""
         return bool(record.zone and self.me.zone and record.zone != self.me.zone)
 
     def is_self(self, sender: MemberRecord) -> bool:
-        """Return whether a message was sent by this very process."""
+        """Return whether a message was sent by this process itself."""
         return sender.name == self.me.name and sender.nonce == self.me.nonce
 
     def sample(self, count: int, rnd: random.Random) -> list[MemberRecord]:
-        """Return some active members at random."""
+        """Return up to ``count`` random active members."""
         names = rnd.sample(self.ring.names, min(count, len(self.ring.names)))
         return [self.records[name] for name in names]
 
     def replace_self(self, record: MemberRecord) -> None:
-        """Change our own record."""
+        """Replace our own record."""
         self._toggle(self.me)
         self.me = record
         self._toggle(record)
 
     def store(self, record: MemberRecord) -> None:
-        """Replace what is held of a member."""
+        """Insert or replace the record of a member."""
         known = self.records.get(record.name)
         self.records[record.name] = record
         if known is not None:
@@ -111,7 +111,7 @@
             self.zone_mismatches.discard(record.name)
 
     def load(self, records: list[MemberRecord], now: int, like: MemberTable | None) -> None:
-        """Begin with these members; ``like`` holds the same and us, and its digests are copied."""
+        """Start with these members. ``like``: a table of the same members and us; its digests are copied."""
         self.records = {record.name: record for record in records}
         self.state_since = dict.fromkeys(self.records, now)
         self.zone_mismatches = {r.name for r in records if r.zone != self.me.zone}
@@ -126,12 +126,12 @@
         self.buckets.toggle(record)
 
     def forget_reports(self, name: str) -> None:
-        """Drop what a former process of a member reported."""
+        """Discard what a previous process of a member reported."""
         self.infos.pop(name, None)
         self.reported_digests.pop(name, None)
 
     def drop(self, name: str) -> None:
-        """Forget a member that takes no part."""
+        """Remove an inactive member."""
         self.buckets.forget(self.records.pop(name))
         self.state_since.pop(name, None)
         self.forget_reports(name)
--- a/arrowseam/membership/proxy_share.py
+++ b/arrowseam/membership/proxy_share.py
@@ -1,8 +1,8 @@
-"""How many proxies a budget is divided by, so that all shares together never exceed the budget.
+"""The number of proxies by which a budget is divided, so that the sum of all shares never exceeds the budget.
 
-Only a proxy with evidence of its own counts another one out, never silence, and a proxy that has just started
-pays for each member that may have counted it out. Then the shares of all processes sum to one at most in any
-partition and its end; ``docs/design/fleet-zones.md`` has the proof.
+A proxy counts another one out only on first-hand evidence, never because of silence, and a proxy that has
+just started reduces its share for each member that may have counted it out. Then the shares of all processes
+sum to at most one, during any partition and after it heals; ``docs/design/fleet-zones.md`` has the proof.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from fractions import Fraction
 from functools import lru_cache
 
-MINIMUM_SHARE_DIVISOR = 4  # a proxy keeps at least one share in so many times the cluster's size
-COUNTED_OUT_MAX = Fraction(7, 10)  # of the cluster: with more counted out the shares of the rest stop growing
-DECREASE_DELAY = 1_000_000  # microseconds; the number in use is the largest of the last second
+MINIMUM_SHARE_DIVISOR = 4  # a proxy keeps at least 1 / (this * cluster size) of a budget
+COUNTED_OUT_MAX = Fraction(7, 10)  # of the cluster; beyond this fraction the other shares stop growing
+DECREASE_DELAY = 1_000_000  # microseconds; the number in use is the maximum over this period
 
 
 @lru_cache(4096)
 def proxy_count(
     configured: int, known: int, counted_out: int, unconfirmed: int, part: Fraction = Fraction(1)
 ) -> int:
-    """Return the number of proxies to divide a budget by.
+    """Return the number of proxies by which to divide a budget.
 
-    ``known`` names, of which ``counted_out`` have ended and ``unconfirmed`` may have counted us out; ``part``
-    of the whole budget is theirs.
+    ``known`` names, of which ``counted_out`` have ended and ``unconfirmed`` may have counted us out; these
+    proxies divide ``part`` of the whole budget.
     """
     size = max(1, configured, known)
     counted_out_max = math.floor(COUNTED_OUT_MAX * size)
@@ -37,18 +37,20 @@
 
 
 class ProxyCountInUse:
-    """The number of proxies that the balancer is given: it grows at once and shrinks slowly.
+    """The number of proxies given to the balancer: increases apply at once, decreases are delayed.
 
-    A restart would make the number fall and rise again; a number that fell at once would take the share of a
-    proxy that is just restarting.
+    A restart makes the number fall and rise again; without the delay the other proxies would take the share
+    of a proxy that is only restarting.
     """
 
     def __init__(self, initial: int) -> None:
         self.value = initial
-        self._recent: deque[tuple[int, int]] = deque()  # (since when none was larger, number), falling
+        self._recent: deque[tuple[int, int]] = (
+            deque()
+        )  # (start of the period without a larger number, number), in descending order
 
     def update(self, now: int, number: int) -> int:
-        """Return the largest number of the last ``DECREASE_DELAY``; ``now`` in microseconds."""
+        """Add a number and return the maximum over ``DECREASE_DELAY``; ``now`` in microseconds."""
         recent = self._recent
         if not recent:
             recent.append((now, self.value))
--- a/arrowseam/membership/records.py
+++ b/arrowseam/membership/records.py
@@ -1,7 +1,7 @@
-"""What is known of one member, and which of two updates about it takes precedence.
+"""The record of one member, and which of two updates about it takes precedence.
 
-Updates are totally ordered, so views converge by keeping the larger update, whatever the order and number of
-deliveries. On the wire a record is a MessagePack array: the names of its fields stay in the process.
+Updates are totally ordered, so views converge by keeping the larger one, whatever the order and number of
+deliveries. On the wire a record is a MessagePack array: its field names are not transmitted.
 """
 
 from __future__ import annotations
@@ -25,52 +25,52 @@
 
 
 class State(IntEnum):
-    """Of two updates about the same incarnation the one with the larger state takes precedence."""
+    """Of two updates about the same incarnation, the one with the larger state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # silent for too long; the process may still run, unreachable
+    DEAD = 2  # did not answer in time; the process may still be running but unreachable
     GONE = 3  # its host refused a connection to its address: the process has ended
-    LEFT = 4  # by its own message, or declared by an operator
+    LEFT = 4  # announced by the member itself, or declared by an operator
 
 
-ENDED_STATES = (State.GONE, State.LEFT)  # the process has ended for certain
+ENDED_STATES = (State.GONE, State.LEFT)  # the process has certainly ended
 
 Precedence: TypeAlias = tuple[int, int, int, int]
 ProcessId: TypeAlias = tuple[str, int, int]  # name, start time, nonce
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One update about one member. A restart under the same name is another process of the member."""
+    """One update about one member. After a restart under the same name the member is a new process."""
 
     name: Name
-    started_at: Number  # microseconds by its own clock, or one more than any start known under its name
-    nonce: Number  # drawn at its start: tells two processes apart that claim one name and start time
+    started_at: Number  # microseconds on its own clock, or one more than the latest known start of its name
+    nonce: Number  # random, drawn at start: distinguishes processes that claim the same name and start time
     incarnation: Number  # raised by the member itself to refute a suspicion
     state: State
     host: Annotated[str, Meta(min_length=1, max_length=64)]
     port: Port
-    reported_by: Annotated[str, Meta(max_length=NAME_MAX)] = ""  # who suspects it, or declared it dead
+    reported_by: Annotated[str, Meta(max_length=NAME_MAX)] = ""  # who suspects it or declared it dead
     zone: Annotated[str, Meta(max_length=ZONE_MAX)] = ""
 
     @property
     def precedence(self) -> Precedence:
-        """The larger of two holds."""
+        """The key by which updates are ordered: the larger one wins."""
         return self.started_at, self.nonce, self.incarnation, self.state
 
     @property
     def process_id(self) -> ProcessId:
-        """This process of this member, and no other."""
+        """Identifies one process of one member."""
         return self.name, self.started_at, self.nonce
 
     @property
     def is_active(self) -> bool:
-        """Whether it takes part, as far as is known: alive, or only suspected."""
+        """Whether the member is believed to be running: alive, or only suspected."""
         return self.state <= State.SUSPECT
 
     @property
     def address(self) -> Address:
-        """Where its datagrams and streams go."""
+        """The address for datagrams and streams."""
         return self.host, self.port
 
     def with_state(self, state: State, reported_by: str = "") -> MemberRecord:
@@ -79,7 +79,7 @@
 
 
 class MemberInfo(msgspec.Struct, array_like=True, frozen=True):
-    """What a member reports of itself. Membership decides nothing by it; rollouts read some of it."""
+    """What a member reports about itself. Membership bases no decision on it; rollouts read some fields."""
 
     version: Annotated[str, Meta(max_length=32)] = ""
     settings_digest: Annotated[str, Meta(max_length=32)] = ""
@@ -87,16 +87,16 @@
     draining: bool = False
     connections: Number = 0
     rejections: Number = 0
-    proxy_count: Number = 0  # that its share of each budget is computed with
+    proxy_count: Number = 0  # the number of proxies by which it divides each budget
 
 
-@lru_cache(FINGERPRINTS_CACHED)  # a fingerprint is removed from a digest as often as it is added
+@lru_cache(FINGERPRINTS_CACHED)  # each fingerprint added to a digest is computed again to remove it
 def fingerprint(*parts: str | int) -> int:
-    """Return 64 bits for one fact. The exclusive or of all is the digest of a set of facts."""
+    """Return a 64-bit hash of one fact. The XOR of the hashes is the digest of a set of facts."""
     text = "\0".join(map(str, parts)).encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
 def activity_fingerprint(record: MemberRecord) -> int:
-    """Return what a member adds to the digest of a view: that this process of it is active."""
+    """Return the contribution of a member to the digest of a view: a hash of its active process, or 0."""
     return fingerprint("here", *record.process_id) if record.is_active else 0
--- a/arrowseam/membership/report.py
+++ b/arrowseam/membership/report.py
@@ -1,6 +1,6 @@
-"""What operators see of a view: counters for statsd, and the rows of members and zones in control's form.
+"""The operator's interface to a view: statsd counters, and rows of members and zones for the control server.
 
-The names of fields and counters here are those that commands and dashboards read.
+Commands and dashboards read fields and counters by the names given here.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 TRANSPORT_COUNTERS = ("unsent", "oversized", "turned_away")
 ROUND_TRIP_BOUNDS_MS = (0.5, 1, 2, 5, 10, 20, 50, 100)
 
-Row = dict[str, Any]  # as it goes out as JSON
+Row = dict[str, Any]  # encoded as JSON
 
 
 class RoundTripHistogram:
-    """Round trips of probes by upper bound, and those over the last one."""
+    """Counts of probe round trips by upper bound, with one more for those above the last bound."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(ROUND_TRIP_BOUNDS_MS) + 1)
 
     def add(self, round_trip: int) -> None:
-        """Count one, in microseconds."""
+        """Count one round trip, in microseconds."""
         self.counts[sum(round_trip > bound * MS for bound in ROUND_TRIP_BOUNDS_MS)] += 1
 
     def lines(self) -> Iterator[str]:
-        """Yield a statsd counter each."""
+        """Yield a statsd counter per bound."""
         for bound, count in zip([*map(str, ROUND_TRIP_BOUNDS_MS), "more"], self.counts):
             yield f"edge.fleet.trip_ms.{bound.replace('.', '_')}:{count}|c"
 
 
 def counter_lines(view: ClusterView, proxy_count: int, transport: Counter[str] | None) -> Iterator[str]:
-    """Yield the statsd lines of a view and of its transport, if that runs."""
+    """Yield the statsd lines of a view and, if it is running, of its transport."""
     yield f"edge.fleet.members:{view.members.active_count}|g"
     yield f"edge.fleet.told:{proxy_count}|g"
     yield f"edge.fleet.health:{view.failure_detector.health}|g"
@@ -57,7 +57,7 @@
 
 
 def member_rows(view: ClusterView, now: int) -> Iterator[Row]:
-    """Yield a row a member, ourselves first; times in seconds ago, ``now`` in microseconds."""
+    """Yield a row per member, our own first; times in seconds ago, ``now`` in microseconds."""
     members = view.members
     yield _member_row(view, members.me, view.info, 0.0, 0.0, view.digest)
     for name, record in sorted(members.records.items()):
@@ -82,7 +82,7 @@
         "address": f"{record.host}:{record.port}",
         "life": record.started_at,
         "incarnation": record.incarnation,
-        "turn": record.incarnation,  # its name until 0.1
+        "turn": record.incarnation,  # the name of this field until 0.1
         "agrees": None if digest is None else digest == view.digest,
         "digest": None if digest is None else f"{digest:016x}",
     }
@@ -104,7 +104,7 @@
 
 
 def zone_rows(view: ClusterView, now: int) -> Iterator[Row]:
-    """Yield a row a zone, as it was last heard of, with how many seconds ago its heartbeat rose."""
+    """Yield a row per zone with its latest summary and the age of its heartbeat in seconds."""
     for zone in view.zones.by_name.values():
         row: Row = {"zone": zone.name, "size": zone.size, "silent": zone.silent}
         if zone.heartbeat_at is not None:
--- a/arrowseam/membership/runtime.py
+++ b/arrowseam/membership/runtime.py
@@ -1,6 +1,6 @@
-"""A view on the proxy's event loop: its sockets and timers, and what the rest of the proxy learns from it.
+"""Runs a cluster view on the proxy's event loop: sockets, timers, and the effects on the rest of the proxy.
 
-Who is a member is decided by the view. A proxy without a running view goes on as it is configured.
+Membership itself is decided by the view. A proxy without a running view uses its configured settings.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
 from arrowseam.outcomes import StreamOutcome
 from arrowseam.request_handling.requests import RequestHandler
 
-INFO_INTERVAL = SECOND  # between two looks at what we report of ourselves
+INFO_INTERVAL = SECOND  # between two refreshes of what we report about ourselves
 BIND_RETRY = 200 * MS
 READY_POLL = 20 * MS
 
 
 def membership_settings(fleet: Fleet, configured_members: int) -> MembershipSettings:
-    """Return the view's settings from those of the operator file."""
+    """Return the settings of the view, taken from the operator file."""
     return MembershipSettings(
         zone=fleet.zone,
         zones=tuple(sorted(fleet.zones.items())),
@@ -59,7 +59,7 @@
 
 
 class MembershipRuntime:
-    """Runs one view from its start until it is stopped or replaced."""
+    """Runs one view until it is stopped or replaced."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         fleet: Fleet,
         ready: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Start talking once ``ready``: the process before this one, under the same name, has stopped."""
+        """Start communicating once ``ready``: the previous process with the same name has stopped."""
         self.loop, self.config, self.request_handler, self.fleet, self.ready = (
             loop,
             config,
@@ -88,7 +88,7 @@
         self._info_at = 0
         self._reconciled = False
         self._stopped = False
-        # Another subsystem on the same sockets: whether a frame is its own; and who hears of marks.
+        # Hooks of a subsystem that shares the sockets: whether a frame belongs to it; called on new marks.
         self.foreign_frame_handler: Callable[[bytes], bool] | None = None
         self.on_mark: Callable[[], None] | None = None
         self._apply_proxy_count()
@@ -121,7 +121,7 @@
             yield due if self.view.due is None else min(due, self.view.due)
 
     def _bind(self) -> Coroutine[None]:
-        """Have the address, which another process may still hold."""
+        """Bind the address, retrying while another process still uses it."""
         logged = False
         while not self._stopped:
             try:
@@ -143,12 +143,12 @@
             yield due
 
     def leave(self) -> None:
-        """Tell the others that this process is going to end; it goes on talking until it does."""
+        """Announce that this process is about to end; it keeps communicating until it does."""
         if not self._stopped and self.peers is not None:
             self._carry_out(self.view.leave(clock()))
 
     def stop(self) -> None:
-        """Send nothing more; another process goes on under this name."""
+        """Stop communicating; another process continues under this name."""
         self._stopped = True
         if self.peers is not None:
             self.peers.close()
@@ -179,7 +179,7 @@
                     log(event, text, level, member=member)
                 case CordonChanged(endpoint, cordoned):
                     self._on_cordon(endpoint, cordoned)
-        self._follow_view()
+        self._apply_view_changes()
         if self.view.due is not None and (self._task.wake_at is None or self.view.due < self._task.wake_at):
             self.loop.wake(self._task)
 
@@ -200,8 +200,8 @@
         log(MembershipEvent.CORDON, text, server=endpoint, out=cordoned)
         self.request_handler.driver.cordon_by_name(endpoint, cordoned)
 
-    def _follow_view(self) -> None:
-        """Give the balancer the number of proxies before anything else happens."""
+    def _apply_view_changes(self) -> None:
+        """Pass a changed number of proxies to the balancer before the next event is handled."""
         before = self.proxy_count.value
         if self.proxy_count.update(clock(), self.view.evidence.proxy_count()) != before:
             self._apply_proxy_count()
@@ -215,34 +215,34 @@
             self.request_handler.driver.set_proxy_count(count)
             log(
                 MembershipEvent.PROXY_SHARE,
-                f"membership: the share of one in {count}",
+                f"membership: this proxy takes 1/{count} of each budget",
                 "debug",
                 proxies=count,
             )
 
     def _reconcile_cordons(self) -> None:
-        """Lift cordons that this proxy's own file kept over a restart and that were lifted meanwhile."""
+        """Lift cordons restored from this proxy's own file that were lifted while it restarted."""
         known = self.view.cordons.by_endpoint
         for endpoint in self.request_handler.driver.cordoned:
             if endpoint in known and not known[endpoint].is_cordoned:
                 self.request_handler.driver.cordon(endpoint, False)
 
-    # --- orders ---
+    # --- operator commands ---
 
     def can_cordon(self, endpoint: str) -> bool:
-        """Whether a cordon of this endpoint, or such a mark, would be replicated."""
+        """Return whether a cordon of this endpoint, or this mark, would be replicated."""
         return self.view.cordons.has_room_for(endpoint)
 
     def set_cordon(self, endpoint: str, cordoned: bool, renew: bool = False) -> None:
-        """Cordon or uncordon an endpoint at all proxies, by our operator's word.
+        """Cordon or uncordon an endpoint at all proxies, on our operator's request.
 
-        ``renew``: a cordon that stands becomes a new one.
+        ``renew``: also renew a cordon in force.
         """
         wall_ms = time.time_ns() // 1_000_000
         self._carry_out(self.view.set_cordon(clock(), wall_ms, endpoint, cordoned, renew))
 
     def declare_left(self, name: str) -> bool:
-        """Write a member off by our operator's word; return False if it is unknown or active."""
+        """Declare a member left on our operator's request; return False if it is unknown or active."""
         effects = self.view.declare_left(clock(), name)
         if effects is None:
             return False
@@ -250,13 +250,13 @@
         return True
 
     def reconfigure(self, config: Config) -> None:
-        """Go by new settings; the number of proxies that the view gives stands over the configured one."""
+        """Apply new settings; the number of proxies from the view overrides the configured one."""
         self.config = config
         self.view.reconfigure(config.settings.proxy_count)
-        self._follow_view()
+        self._apply_view_changes()
         self._apply_proxy_count()
 
-    # --- what we report of ourselves ---
+    # --- information about this proxy ---
 
     def _info(self, proxy_count: int) -> MemberInfo:
         zones = {number: name for name, number in self.config.zones.items()}
@@ -277,9 +277,9 @@
         round_trips = self.view.failure_detector.round_trips
         while round_trips:
             self.round_trips.add(round_trips.popleft())
-        self._follow_view()
+        self._apply_view_changes()
 
-    # --- what operators see ---
+    # --- reports for operators ---
 
     def counter_lines(self) -> Iterator[str]:
         """Yield the statsd lines of the view, its transport and its round trips."""
@@ -288,7 +288,7 @@
         yield from self.round_trips.lines()
 
     def rows(self) -> Iterator[report.Row]:
-        """Yield the rows of all members, all zones, and one of the cordons."""
+        """Yield the rows of all members and zones, and one row with the cordons."""
         now = clock()
         yield from report.member_rows(self.view, now)
         yield from report.zone_rows(self.view, now)
--- a/arrowseam/membership/settings.py
+++ b/arrowseam/membership/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a view."""
+"""The settings of a cluster view."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True)
 class MembershipSettings:
-    """What operators configure. Times in microseconds."""
+    """The settings that operators configure. Times in microseconds."""
 
     cluster: str = "fleet"
     seeds: tuple[Address, ...] = ()
     probe_interval: int = 300 * MS
-    probe_timeout: int = 100 * MS  # until other members are asked to probe
+    probe_timeout: int = 100 * MS  # until other members are asked for an indirect probe
     indirect_probes: int = 3
-    suspicion_factor: float = 2.5  # shortest suspicion: intervals, times the decimal logarithm of the cluster
-    suspicion_stretch: float = 3.0  # longest suspicion: times the shortest
-    tombstone_ttl: int = 3600 * SECOND  # an ended member is kept so long, if more are known than configured
+    suspicion_factor: float = 2.5  # shortest suspicion: probe intervals, times log10 of the cluster size
+    suspicion_stretch: float = 3.0  # longest suspicion, as a multiple of the shortest
+    tombstone_ttl: int = 3600 * SECOND  # how long to keep ended members beyond the configured number
     configured_members: int = 1
-    zone: str = ""  # ours; empty: the cluster has no zones
-    zones: tuple[tuple[str, int], ...] = ()  # each zone's name and size, the same at all members
-    never_count_out: bool = False  # ended members keep their share
-    lifeguard: bool = True  # off only to compare with plain SWIM
+    zone: str = ""  # our own; empty: the cluster has no zones
+    zones: tuple[tuple[str, int], ...] = ()  # name and size of each zone, identical at all members
+    never_count_out: bool = False  # True: ended members keep their share of the budgets
+    lifeguard: bool = True  # turned off only for comparisons with plain SWIM
--- a/arrowseam/membership/settings_digest.py
+++ b/arrowseam/membership/settings_digest.py
@@ -1,8 +1,8 @@
 """A digest of a proxy's settings, by which operators see which proxies are configured differently.
 
-The digest travels in the member's record, so proxies of this version and of earlier ones must come to the
-same digest for the same settings. Earlier versions hashed the text that Python shows of their own settings
-types; ``_describe`` writes that text, with the names that the settings had there.
+The digest is part of what a member reports, so proxies of this version and of earlier ones must compute the
+same digest for the same settings. Earlier versions hashed the ``repr`` of their own settings types;
+``_describe`` reproduces that text, with the names that the settings had there.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class _Text(str):
-    """Text that ``repr`` shows as it is."""
+    """Text whose ``repr`` is the text itself."""
 
     __slots__ = ()
 
@@ -32,7 +32,7 @@
 
 
 def settings_digest(config: Config) -> str:
-    """Return the digest of the settings in force, in hexadecimal; a proxy's own index is left out."""
+    """Return the digest of the current settings in hexadecimal; the proxy's own index is left out."""
     return hashlib.blake2b(_describe(config).encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
--- a/arrowseam/membership/state_sync.py
+++ b/arrowseam/membership/state_sync.py
@@ -1,8 +1,8 @@
 """Anti-entropy: two views that differ exchange the records of the buckets in which they differ.
 
-The requester sends the digests of its buckets, the responder the records of those that differ, and the
-requester pushes back what the response turned out to lack. Members that are short of bytes name others to
-ask. Versions before the buckets send and receive whole views.
+The requester sends its bucket digests, the responder returns the records of the buckets that differ, and the
+requester pushes back the records that the response lacked. A member whose traffic budget is used up names
+others to ask. Versions without buckets send and receive whole views.
 """
 
 from __future__ import annotations
@@ -21,52 +21,52 @@
 if TYPE_CHECKING:
     from arrowseam.membership.view import ClusterView
 
-QUIET_TIME = SECOND // 2  # views that differ are synchronised once ours has not changed for so long
-REQUEST_GAP = SECOND  # between two requests, for each hundred members
+QUIET_TIME = SECOND // 2  # our view must be unchanged for this long before it is synchronised
+REQUEST_GAP = SECOND  # between two requests, per ``GAP_MEMBERS`` members
 GAP_MEMBERS = 100
-MERGE_BATCH = 50  # records merged at a time: the loop serves others in between
+MERGE_BATCH = 50  # records merged at a time, so that the event loop can serve other work in between
 BACKLOG_MAX = 2 * MEMBERS_MAX
-REDIRECTS_MAX = 8  # members named by one that is short of bytes
-CONTACTS_PER_ZONE = 3  # for a member that has just started
-NOT_BETWEEN_ZONES = (MessageKind.BRIDGE, MessageKind.BRIDGE_REPLY)
+REDIRECTS_MAX = 8  # members named in a redirect
+CONTACTS_PER_ZONE = 3  # sent to a member that has just started
+CROSS_ZONE_KINDS = (MessageKind.BRIDGE, MessageKind.BRIDGE_REPLY)
 
 
 class ZoneFields(TypedDict, total=False):
-    """Fields of a state synchronisation that tell of the zones."""
+    """Fields of a state synchronisation about the zones."""
 
     summaries: list[ZoneSummary]
     contacts: list[MemberRecord]
 
 
 class StateSynchronizer:
-    """Asks, answers and merges."""
+    """Requests state synchronisations, answers them, and merges the results."""
 
     def __init__(self, view: ClusterView) -> None:
         self.view, self.context, self.members = view, view.context, view.members
-        self.backlog: deque[MemberRecord] = deque()  # received, not merged yet
+        self.backlog: deque[MemberRecord] = deque()  # received but not merged yet
         self.requested_at = NEVER
 
     def compare(self, message: Datagram) -> None:
-        """Synchronise with a sender whose view differs, once ours has come to rest."""
+        """Synchronise with a sender whose view differs, once ours has stopped changing."""
         gap = REQUEST_GAP * max(1, self.members.active_count // GAP_MEMBERS)
         if (
             message.digest != self.view.digest
-            and message.sender.zone == self.members.me.zone  # otherwise the two never hold the same
-            and message.kind not in NOT_BETWEEN_ZONES
+            and message.sender.zone == self.members.me.zone  # otherwise the two views never become equal
+            and message.kind not in CROSS_ZONE_KINDS
             and message.sender.state is not State.LEFT
             and self.is_due(gap)
         ):
             self.request(message.sender.address)
 
     def is_due(self, gap: int = REQUEST_GAP) -> bool:
-        """Return whether our view is at rest and the last request is ``gap`` microseconds ago."""
+        """Return whether our view is stable and the last request was at least ``gap`` microseconds ago."""
         now = self.context.now
         return now - self.context.changed_at >= QUIET_TIME and now - self.requested_at >= gap
 
     # --- requests ---
 
     def request(self, address: Address) -> None:
-        """Ask for what differs."""
+        """Request the records and cordons that differ."""
         if not self._may_sync():
             self.context.counters["spared"] += 1
             return
@@ -75,12 +75,12 @@
         self.send(address, self._compose(SyncPart.REQUEST, [], []))
 
     def send(self, address: Address, state: StateSync) -> None:
-        """Open a stream with a state synchronisation."""
+        """Open a stream and send a state synchronisation."""
         token = self.context.next_number()
         self.view.streams.send(token, address, self.encode(state))
 
     def encode(self, state: StateSync) -> bytes:
-        """Return the frame of a state synchronisation, which is charged to the budget."""
+        """Return the frame of a state synchronisation; its size is charged to the traffic budget."""
         data = codec.encode_frame(state)
         self.view.dissemination.budget.spend_sync(self.context.now, len(data))
         return self.context.count_sent(data)
@@ -110,21 +110,21 @@
             **(zone_fields or {}),
         )
 
-    def compose_whole(self, cordons: list[Cordon]) -> StateSync:
-        """Return all that we hold, in the form of versions before the buckets."""
+    def compose_full_state(self, cordons: list[Cordon]) -> StateSync:
+        """Return our complete state, in the format of versions without buckets."""
         cluster, info = self.context.settings.cluster, self.view.info
         records = list(self.members.records.values())
         return StateSync(codec.VERSION, cluster, self.members.me, records, cordons, info)
 
-    # --- the responder ---
+    # --- responder ---
 
     def on_request(self, state: StateSync) -> StateSync | None:
-        """Take in what a member asks with or pushes; return the answer."""
+        """Process a request or a push of another member; return the answer."""
         if self.members.is_self(state.sender):
             return None
         self.merge(state)
         if state.part == SyncPart.PUSH:
-            # The stream needs a frame; marked as a push, it is not answered in turn.
+            # The stream needs an answer frame; as a push, it is not answered in turn.
             return self._compose(SyncPart.PUSH, [], [])
         cordons = self.view.cordons
         differ = state.cordon_digest != cordons.digest or not state.buckets
@@ -133,7 +133,7 @@
             zone_fields = self._zone_fields(state.sender.zone)
             return self._compose(SyncPart.RESPONSE, [], differing_cordons, zone_fields)
         if not state.buckets:
-            return self.compose_whole(differing_cordons)
+            return self.compose_full_state(differing_cordons)
         if not self._may_sync() and self.members.ring.names:
             self.context.counters["spared"] += 1
             others = self.members.sample(REDIRECTS_MAX, self.context.random)
@@ -151,7 +151,7 @@
         return [record for name, record in self.members.records.items() if bucket(name) in buckets]
 
     def _zone_fields(self, zone: str) -> ZoneFields:
-        """Return what we know of the zones, for a member of ``zone`` that may know nobody."""
+        """Return the zone information for a member of ``zone`` that may not know any member yet."""
         zones = self.view.zones
         if not zones.by_name:
             return {}
@@ -164,10 +164,10 @@
             contacts += self.view.bridges.own_contacts(CONTACTS_PER_ZONE)
         return {"summaries": summaries, "contacts": contacts}
 
-    # --- the requester ---
+    # --- requester ---
 
     def on_response(self, state: StateSync) -> None:
-        """Take in an answer, and push back what it lacks; an older version asks for that itself."""
+        """Process an answer and push back what it lacks; an older version requests that itself."""
         if self.members.is_self(state.sender):
             return
         is_foreign = self.members.is_foreign(state.sender)
@@ -199,7 +199,7 @@
     # --- both ---
 
     def merge(self, state: StateSync) -> None:
-        """Take in what a state synchronisation tells; its records are merged in batches."""
+        """Merge a state synchronisation; its records are merged in batches."""
         if self.members.is_foreign(state.sender):
             self.view.bridges.on_foreign_sender(state.sender)
         else:
@@ -207,7 +207,7 @@
             if state.info is not None:
                 self.members.infos[state.sender.name] = state.info, self.context.now
         self.view.cordon_replication.on_cordons(state.cordons)
-        self.view.bridges.on_zone_news(state)
+        self.view.bridges.on_zone_status(state)
         for record in state.contacts:
             self.view.updates.on_update(record)
         if len(self.backlog) < BACKLOG_MAX:
@@ -218,7 +218,7 @@
 
     def _merge_batch(self) -> None:
         for _ in range(min(MERGE_BATCH, len(self.backlog))):
-            # A death that the other side of a partition declared is no more than a suspicion here.
+            # A death declared on the other side of a partition counts only as a suspicion here.
             self.view.updates.on_update(self.backlog.popleft(), demote_death=True, synced=True)
         if self.backlog:
             self.context.timers.schedule(self.context.now, self._on_merge_timer)
--- a/arrowseam/membership/streams.py
+++ b/arrowseam/membership/streams.py
@@ -1,7 +1,7 @@
-"""Streams that this view has opened: probes by stream, and state synchronisations.
+"""Streams opened by this view: stream probes and state synchronisations.
 
-A stream that the host refuses is proof that no process listens at the address any more: the process that was
-known there has ended. A stream without an answer proves nothing.
+If the host refuses a stream, no process listens at the address any more, which proves that the process known
+there has ended. A stream without an answer proves nothing.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class StreamTable:
-    """Open streams by token, each with the process that it is to reach, if one is known."""
+    """Open streams by token, each with the process expected at its address, if known."""
 
     def __init__(self, view: ClusterView) -> None:
         self.view, self.context, self.members = view, view.context, view.members
         self.open: dict[int, ProcessId | None] = {}
 
     def probe(self, target: MemberRecord | Address) -> None:
-        """Ping by a stream: it is answered, refused by the host, or times out."""
+        """Ping over a stream, which is answered, refused by the host, or times out."""
         if isinstance(target, MemberRecord):
             address, process = target.address, target.process_id
             first = target if target.state is not State.ALIVE else None
@@ -43,7 +43,7 @@
         self.context.effects.append(OpenStream(token, address, data))
 
     def on_closed(self, token: int, outcome: StreamOutcome, data: bytes) -> None:
-        """Take in how a stream ended, and the frame that came."""
+        """Process the outcome of a stream and the received frame."""
         if token not in self.open:
             return
         process = self.open.pop(token)
@@ -69,9 +69,9 @@
 
     def _on_foreign_answer(self, message: Datagram, record: MemberRecord | None) -> None:
         sender = message.sender
-        has_its_name = record is not None and sender.name == record.name
-        if record is not None and has_its_name and sender.process_id != record.process_id:
-            # The process that we knew before we asked at its address has ended.
+        same_name = record is not None and sender.name == record.name
+        if record is not None and same_name and sender.process_id != record.process_id:
+            # Another process answers at its address: the process that we knew has ended.
             self.view.updates.on_refused(record)
         self.view.on_message(message)
         if not self.members.ring.names:
@@ -81,5 +81,5 @@
         was_active = record is None or record.is_active
         self.view.on_message(message)
         if not was_active or message.digest != self.view.digest:
-            # We held it for dead: its side of a partition has much to tell.
+            # If it was believed dead, its side of a partition probably has many changes.
             self.view.state_sync.request(message.sender.address)
--- a/arrowseam/membership/traffic_budget.py
+++ b/arrowseam/membership/traffic_budget.py
@@ -4,19 +4,19 @@
 
 from arrowseam.membership.settings import SECOND
 
-PUSH_RATE, PUSH_BURST = 500, 16 << 10  # bytes a second, and at once
+PUSH_RATE, PUSH_BURST = 500, 16 << 10  # bytes per second, and bytes in a burst
 SYNC_RATE, SYNC_BURST = 1_200, 96 << 10
 
 
 class TrafficBudget:
-    """Bytes that may be sent now. An allowance below zero is paid back before the next message."""
+    """Bytes that may be sent now. A negative allowance must be refilled before the next message."""
 
     def __init__(self) -> None:
         self.push_allowance, self.sync_allowance = float(PUSH_BURST), float(SYNC_BURST)
         self.refilled_at = 0
 
     def refill(self, now: int) -> None:
-        """Add what the time since the last refill allows; ``now`` in microseconds."""
+        """Refill the allowances for the time since the last refill; ``now`` in microseconds."""
         span = now - self.refilled_at
         self.refilled_at = now
         self.push_allowance = min(PUSH_BURST, self.push_allowance + PUSH_RATE * span / SECOND)
@@ -28,6 +28,6 @@
         return self.sync_allowance > 0
 
     def spend_sync(self, now: int, size: int) -> None:
-        """Note that a state synchronisation of so many bytes goes out."""
+        """Charge a state synchronisation of ``size`` bytes."""
         self.refill(now)
         self.sync_allowance -= size
--- a/arrowseam/membership/view.py
+++ b/arrowseam/membership/view.py
@@ -1,8 +1,8 @@
 """The cluster as one proxy sees it: a state machine without I/O, clock or random numbers of its own.
 
-``ClusterView`` takes events with the time in them, routes each to the parts that it concerns, and returns the
-effects to carry out. Its parts are a module each: failure detector and suspicions, dissemination, state
-synchronisation, zone bridges, cordons, reconnection, evidence and share.
+``ClusterView`` receives events with their time, passes each to the components concerned and returns the
+effects to carry out. Each component has its own module: failure detector and suspicions, dissemination,
+state synchronisation, zone bridges, cordons, reconnection, evidence and budget share.
 """
 
 from __future__ import annotations
@@ -41,11 +41,11 @@
 from arrowseam.membership.zones import ZoneTable
 from arrowseam.outcomes import StreamOutcome
 
-FAREWELLS = 5  # members told directly by one that leaves
+LEAVE_NOTIFICATIONS = 5  # members to which a leaving member sends its update directly
 
 
 class ClusterView:
-    """Times in microseconds of one monotonic clock; each event returns its effects, in order."""
+    """Times in microseconds of one monotonic clock; each event method returns its effects in order."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         if me.zone != settings.zone:
             me = msgspec.structs.replace(me, zone=settings.zone)
         self.info = info
-        self.due: int | None = None  # when ``on_timer`` is to be called
+        self.due: int | None = None  # time at which ``on_timer`` is to be called
         self.context = ViewContext(settings, rnd, me.nonce)
         self.members = MemberTable(me)
         self.zones = ZoneTable(settings.zone, settings.zones, rnd)
@@ -73,7 +73,7 @@
         self.bridges = ZoneBridges(self)
         self.reconnection = Reconnection(self)
 
-    # --- what it holds ---
+    # --- state ---
 
     @property
     def settings(self) -> MembershipSettings:
@@ -92,37 +92,37 @@
 
     @property
     def digest(self) -> int:
-        """Equal for two views that hold the same active processes and the same cordons."""
+        """Equal for two views with the same active processes and the same cordons."""
         return self.members.digest ^ self.cordons.digest
 
     @property
     def changed_at(self) -> int:
-        """When what this view holds last changed."""
+        """Time of the last change to the state of this view."""
         return self.context.changed_at
 
     @property
     def counters(self) -> Counter[str]:
-        """Counts of what has happened, by the names under which they are published."""
+        """Event counters, by the names under which they are published."""
         return self.context.counters
 
     # --- events ---
 
     def start(self, now: int) -> list[Effect]:
-        """Begin as a member that knows nobody but the seeds."""
-        self._start_parts(now)
+        """Start as a member that knows only the seeds."""
+        self._start_components(now)
         self.reconnection.start()
         return self._end_event()
 
     def start_established(
         self, now: int, records: Iterable[MemberRecord], like: ClusterView | None = None
     ) -> list[Effect]:
-        """For simulations: begin as a member of a cluster that has run for long, whose members have answered.
+        """For simulations: start as a member of a long-running cluster whose members have all answered.
 
-        ``like`` is another view that holds the same, us among it: its digests are copied.
+        ``like``: another view with the same members, including us, whose digests are copied.
         """
-        self._start_parts(now)
+        self._start_components(now)
         members, evidence = self.members, self.evidence
-        # What ``MemberUpdates.apply`` would do for each, without its messages: simulations hold millions.
+        # As ``MemberUpdates.apply`` for each record, without its messages: simulations hold millions.
         own_zone = []
         for record in records:
             if record.name == members.me.name or members.is_foreign(record):
@@ -137,13 +137,13 @@
         return self._end_event()
 
     def on_timer(self, now: int) -> list[Effect]:
-        """Run what is due."""
+        """Run the timers that are due."""
         self._begin_event(now)
         self.context.timers.run_due(now)
         return self._end_event()
 
     def on_datagram(self, now: int, data: bytes) -> list[Effect]:
-        """Take in a datagram."""
+        """Process a datagram."""
         self._begin_event(now)
         try:
             message = codec.decode_datagram(data, self.settings.cluster)
@@ -158,7 +158,7 @@
         return self._end_event()
 
     def on_stream_request(self, now: int, data: bytes) -> tuple[list[Effect], bytes | None]:
-        """Take in a frame on a stream that another member opened; return effects and the frame to answer."""
+        """Process a frame on a stream that another member opened; return the effects and the answer frame."""
         self._begin_event(now)
         answer: bytes | None = None
         try:
@@ -180,7 +180,7 @@
     def on_stream_closed(
         self, now: int, token: int, outcome: StreamOutcome, data: bytes = b""
     ) -> list[Effect]:
-        """Take in how a stream of ours ended, with the frame that came where it was answered."""
+        """Process the outcome of a stream that we opened, with the received frame if it was answered."""
         self._begin_event(now)
         self.streams.on_closed(token, outcome, data)
         return self._end_event()
@@ -188,25 +188,25 @@
     def set_cordon(
         self, now: int, wall_ms: int, endpoint: str, cordoned: bool, renew: bool = False
     ) -> list[Effect]:
-        """Cordon or uncordon an endpoint by our operator's word; ``renew``: as a new cordon if it stands."""
+        """Cordon or uncordon an endpoint for our operator; ``renew``: also renew a cordon in force."""
         self._begin_event(now)
         self.cordon_replication.set_locally(endpoint, cordoned, wall_ms, renew)
         return self._end_event()
 
     def leave(self, now: int) -> list[Effect]:
-        """Tell the others that this process is about to end, on purpose."""
+        """Announce to the other members that this process is about to end on purpose."""
         self._begin_event(now)
         context = self.context
         if not context.leaving:
             context.leaving, self.evidence.complete = True, False
             left = msgspec.structs.replace(self.me, incarnation=self.me.incarnation + 1, state=State.LEFT)
             self.updates.announce(left)
-            for record in self.members.sample(FAREWELLS, context.random):
+            for record in self.members.sample(LEAVE_NOTIFICATIONS, context.random):
                 self.dissemination.ping(record)
         return self._end_event()
 
     def declare_left(self, now: int, name: str) -> list[Effect] | None:
-        """Write a member off by our operator's word; None if it is unknown or active."""
+        """Declare a member left on our operator's request; None if it is unknown or active."""
         record = self.records.get(name)
         if record is None or record.is_active:
             return None
@@ -215,12 +215,12 @@
         return self._end_event()
 
     def reconfigure(self, configured_members: int) -> None:
-        """Go by another number of configured members from now on."""
+        """Change the number of configured members."""
         self.context.settings = replace(self.settings, configured_members=configured_members)
 
-    # --- the frame of each event ---
+    # --- start and end of each event ---
 
-    def _start_parts(self, now: int) -> None:
+    def _start_components(self, now: int) -> None:
         self._begin_event(now)
         self.dissemination.budget.refilled_at = now
         self.failure_detector.schedule_probe(int(self.context.random.random() * self.settings.probe_interval))
@@ -229,7 +229,7 @@
 
     def _begin_event(self, now: int) -> None:
         context = self.context
-        # Counted once: what waited while we did not run comes all at one time, each an event of its own.
+        # Counted once per stall: events that queued up during it all arrive with the same time.
         late = now - max(self.due, context.now) if self.due is not None else 0
         context.now, context.effects = now, []
         if late > context.settings.probe_interval // 2 and context.settings.lifeguard:
@@ -241,13 +241,13 @@
         return self.context.effects
 
     def count_malformed(self, error: MalformedMessageError) -> None:
-        """Count bytes that are no message of this cluster."""
+        """Count data that is not a message of this cluster."""
         self.counters["foreign" if isinstance(error, ForeignClusterError) else "junk"] += 1
 
     # --- messages ---
 
     def on_message(self, message: Datagram) -> Datagram | None:
-        """Take in a message; return the answer to its sender."""
+        """Process a message; return the answer to its sender."""
         members, sender = self.members, message.sender
         if members.is_self(sender):
             self.counters["echoes"] += 1
@@ -261,21 +261,21 @@
             known is not None and known.process_id == sender.process_id and known.state not in ENDED_STATES
         )
         if recognised:
-            self._note_report(message)
+            self._store_report(message)
         for record in message.updates:
             updates.on_update(record)
         for record in message.contacts:
             updates.on_update(record)
         self.cordon_replication.on_cordons(message.cordons)
-        self.bridges.on_zone_news(message)
-        # What we hold of the sender and it does not say itself, it may refute.
+        self.bridges.on_zone_status(message)
+        # If our record of the sender is newer than the one it sent, it goes back so that it can be refuted.
         refutable = known if known is not None and known.precedence > sender.precedence else None
         reply = self._answer(message, refutable, recognised) if sender.state is not State.LEFT else None
         self.state_sync.compare(message)
         return reply
 
-    def _note_report(self, message: Datagram) -> None:
-        """Note what a member says of itself and of its view."""
+    def _store_report(self, message: Datagram) -> None:
+        """Store what a member reports about itself and its view."""
         members, sender = self.members, message.sender
         if message.info is not None:
             members.infos[sender.name] = message.info, self.context.now
@@ -295,7 +295,7 @@
                 self.failure_detector.on_ping_request(message, message.subject)
             case MessageKind.NACK:
                 self.failure_detector.on_nack(message)
-            case MessageKind.BRIDGE:  # the sender takes us for a member of another zone
+            case MessageKind.BRIDGE:  # the sender believes that we are in another zone
                 return self.bridges.compose(MessageKind.BRIDGE_REPLY, message.number, message.sender.zone)
             case MessageKind.PUSH | MessageKind.BRIDGE_REPLY:
                 pass  # they carry gossip only
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -146,12 +146,12 @@
 @pytest.mark.parametrize(
     ("data", "reason"),
     [
-        (b"", "not of this protocol"),
-        (b"GET / HTTP/1.1\r\n\r\n", "not of this protocol"),
-        (codec.seal(b"\xff\xff"), "malformed"),
-        (codec.seal(msgspec.msgpack.encode([1, "fleet", 1, -1])), "malformed"),
-        (codec.encode_datagram(message(cluster="another")), "another fleet"),
-        (codec.seal(b"\x00" * 1500), "longer"),
+        (b"", "not a message of this protocol"),
+        (b"GET / HTTP/1.1\r\n\r\n", "not a message of this protocol"),
+        (codec.add_header(b"\xff\xff"), "malformed"),
+        (codec.add_header(msgspec.msgpack.encode([1, "fleet", 1, -1])), "malformed"),
+        (codec.encode_datagram(message(cluster="another")), "message of another cluster"),
+        (codec.add_header(b"\x00" * 1500), "longer than the maximum size of a datagram"),
     ],
 )
 def test_malformed_and_foreign_messages_change_nothing(data: bytes, reason: str) -> None:
@@ -169,7 +169,7 @@
     """A later version sends more fields, and kinds of messages that we don't know."""
     body = msgspec.msgpack.decode(msgspec.msgpack.encode(message(version=2)))
     body[4].append("a field of a record to come")
-    data = codec.seal(msgspec.msgpack.encode([*body, "and one of the datagram"]))
+    data = codec.add_header(msgspec.msgpack.encode([*body, "and one of the datagram"]))
     assert codec.decode_datagram(data, "fleet").sender.name == "us"
     view = ClusterView(record("other"), MembershipSettings(), random.Random(1))
     view.start(0)
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -225,7 +225,7 @@
     double = net._begin("m11", msgspec.structs.replace(net.record("m11"), name="m0"))
     net._do(double, double.view.start(net.now))
     net.run(net.now + 20 * SECOND)
-    assert any("is called m0 too" in text for _, text in logged(net, "member.name_conflict"))
+    assert any("also uses the name m0" in text for _, text in logged(net, "member.name_conflict"))
     ours, theirs = net.running["m0"].view, net.running["m11"].view
     assert ours.me.name == theirs.me.name == "m0"
     assert set(net.here(net.running["m0"])) == set(of(net, "a"))
@@ -447,8 +447,8 @@
         with pytest.raises(codec.MalformedMessageError):
             codec.decode_datagram(data[:at], "fleet")
         # With a checksum that is right: what is left out at the end is at its default.
-        view.on_datagram(at, codec.seal(data[codec.HEADER_SIZE : at]))
-        view.on_stream_request(at, codec.seal(b"D" + data[codec.HEADER_SIZE : at]))
+        view.on_datagram(at, codec.add_header(data[codec.HEADER_SIZE : at]))
+        view.on_stream_request(at, codec.add_header(b"D" + data[codec.HEADER_SIZE : at]))
     assert view.counters["junk"] > 0
 
 
@@ -460,7 +460,7 @@
     for at in range(len(data)):
         with pytest.raises(codec.MalformedMessageError):
             codec.decode_frame(data[:at], "fleet")
-        cut = codec.seal(data[codec.HEADER_SIZE : at])
+        cut = codec.add_header(data[codec.HEADER_SIZE : at])
         view.on_stream_request(at, cut)
         view.streams.open[at] = None
         view.on_stream_closed(at, at, StreamOutcome.ANSWERED, cut)
@@ -495,10 +495,10 @@
         put(path, everything)
     for doc in [*docs, everything]:
         view = _view()
-        data = codec.seal(head + msgspec.msgpack.encode(doc))
+        data = codec.add_header(head + msgspec.msgpack.encode(doc))
         if not head:
             view.on_datagram(1, data)
-        view.on_stream_request(2, data if head else codec.seal(b"D" + data[codec.HEADER_SIZE :]))
+        view.on_stream_request(2, data if head else codec.add_header(b"D" + data[codec.HEADER_SIZE :]))
         view.streams.open[1] = None
         view.on_stream_closed(3, 1, StreamOutcome.ANSWERED, data)
         for at in range(1, 30):
@@ -560,7 +560,7 @@
 class FormerSync(StateSynchronizer):
     def request(self, address: Address) -> None:
         self.requested_at = self.context.now
-        self.send(address, self.compose_whole(list(self.view.cordons.by_endpoint.values())))
+        self.send(address, self.compose_full_state(list(self.view.cordons.by_endpoint.values())))
 
 
 class FormerDissemination(Dissemination):
@@ -613,7 +613,7 @@
             doc = doc[:11]
             doc[4], doc[6], doc[7] = doc[4][:8], doc[6] and doc[6][:8], [r[:8] for r in doc[7]]
             doc[2] = doc[2] if doc[2] <= codec.MessageKind.NACK else 99
-        sealed = codec.seal(head + msgspec.msgpack.encode(doc))
+        sealed = codec.add_header(head + msgspec.msgpack.encode(doc))
         return len(sealed).to_bytes(codec.LENGTH_SIZE, "big") + sealed if stream else sealed
 
     def _end_event(self) -> list[Effect]:
