--- a/tests/data/wire/make_membership_zones.py
+++ b/tests/data/wire/make_membership_zones.py
@@ -5,6 +5,6 @@
 
 import json
 
-from test_wire_bytes_membership import spoken
+from test_wire_bytes_membership import sent_frames
 
-print(json.dumps(spoken("a"), indent=1))
+print(json.dumps(sent_frames("a"), indent=1))
--- a/tests/test_settings_digest.py
+++ b/tests/test_settings_digest.py
@@ -1,7 +1,7 @@
-"""The digest of the settings that proxies compare: equal to that of the version before, for equal settings.
+"""The digest by which proxies compare settings is equal to that of the previous version for equal settings.
 
-It is part of a member's record. If a version came to another digest for the same settings, operators would
-see old and new proxies as configured differently all through a rolling upgrade.
+It is part of what a member reports. If a version computed another digest for the same settings, operators
+would see old and new proxies as configured differently throughout a rolling upgrade.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from arrowseam.config.proxy import read_config
 from arrowseam.membership.settings_digest import settings_digest
 
-WRITTEN: dict[str, Any] = json.loads(
+RECORDED: dict[str, Any] = json.loads(
     (Path(__file__).parent / "data" / "wire" / "settings_digest.json").read_text()
 )
 
 
 def digest(name: str, **changes: Any) -> str:
-    document = WRITTEN[name]["config"]
+    document = RECORDED[name]["config"]
     return settings_digest(
         read_config(json.dumps(document | {"settings": document["settings"] | changes}).encode())
     )
 
 
-@pytest.mark.parametrize("name", list(WRITTEN))
-def test_the_version_before_came_to_the_same_digest(name: str) -> None:
-    assert digest(name) == WRITTEN[name]["digest"]
+@pytest.mark.parametrize("name", list(RECORDED))
+def test_the_digest_equals_that_of_the_previous_version(name: str) -> None:
+    assert digest(name) == RECORDED[name]["digest"]
 
 
-def test_only_a_proxys_own_index_is_left_out() -> None:
+def test_only_the_own_index_of_a_proxy_is_left_out() -> None:
     assert digest("another proxy") == digest("same count")
     assert digest("base") != digest("another proxy")
 
@@ -47,5 +47,5 @@
         {"my_zone": 1},
     ],
 )
-def test_every_other_setting_changes_it(change: dict[str, Any]) -> None:
+def test_every_other_setting_changes_the_digest(change: dict[str, Any]) -> None:
     assert digest("base", **change) != digest("base")
--- a/tests/test_zone_silence.py
+++ b/tests/test_zone_silence.py
@@ -1,4 +1,4 @@
-"""Which zones a member reports as silent, where some ways between members are cut."""
+"""Reports of silent zones while some directions between members are cut."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 SIZES = (("a", 3), ("b", 3), ("c", 3))
 
 
-def standing(zones: dict[str, int]) -> SimulatedCluster:
+def running_cluster(zones: dict[str, int]) -> SimulatedCluster:
     net = SimulatedCluster(sum(zones.values()), 1, zones=zones)
     net.stand()
     net.run(net.now + 5 * SECOND)
     return net
 
 
-def of(net: SimulatedCluster, zone: str) -> list[str]:
+def members_of(net: SimulatedCluster, zone: str) -> list[str]:
     return [name for name in net.names if net.zone_of[name] == zone]
 
 
@@ -36,44 +36,46 @@
     return net.running[name].view.zones.by_name[zone].silent
 
 
-def reports(net: SimulatedCluster, name: str, event: str, zone: str) -> list[int]:
-    """When a member reported that of a zone."""
+def report_times(net: SimulatedCluster, name: str, event: str, zone: str) -> list[int]:
+    """Return the times at which a member logged this event about a zone."""
     return [
-        at for at, who, note in net.notes if who == name and note.event == event and f" {zone} " in note.text
+        at
+        for at, who, entry in net.notes
+        if who == name and entry.event == event and f" {zone} " in entry.text
     ]
 
 
-# --- the judgement itself ---------------------------------------------------------------------------------
+# --- the checker of the schedules -------------------------------------------------------------------------
 
 
-def test_a_way_that_is_open_between_two_checks_is_seen_by_the_judge() -> None:
-    """A cut healed and came again within half a second: the judge took both for one long cut."""
+def test_a_connection_that_is_open_between_two_checks_is_seen_by_the_checker() -> None:
+    """A cut healed and was repeated within half a second: the checker took both for one long cut."""
     zones = {"a": 3, "b": 3}
     names = [f"m{n}" for n in range(6)]
     cut = ZoneFault.CUT_REGION.value
     first = Step(8 * SECOND + 20 * MS, cut, tuple(names[:3]), 10 * SECOND)
-    again = Step(first.at + first.span + 400 * MS, cut, tuple(names[:3]), 4 * SECOND)
+    second = Step(first.at + first.span + 400 * MS, cut, tuple(names[:3]), 4 * SECOND)
     for offset in (0, 100 * MS, 200 * MS, 300 * MS, 400 * MS):
-        steps = [Step(s.at + offset, s.what, s.who, s.span) for s in (first, again)]
+        steps = [Step(s.at + offset, s.what, s.who, s.span) for s in (first, second)]
         assert ZonePlayer(ZoneSchedule(1, 6, steps, zones)).play().broken == []
 
 
-# --- how old a heartbeat is -------------------------------------------------------------------------------
+# --- age of heartbeats ------------------------------------------------------------------------------------
 
 
-def test_a_heartbeat_counts_from_its_zone_s_raising_it_however_late_it_arrives() -> None:
-    """A heartbeat that came late counted as new: a zone that had ended was heard for a timeout more."""
-    teller, hearer = (ZoneTable("a", SIZES, random.Random(1)) for _ in range(2))
+def test_the_age_of_a_heartbeat_counts_from_when_its_zone_raised_it() -> None:
+    """A late heartbeat counted as new: a zone that had ended was believed alive for a timeout more."""
+    sender, receiver = (ZoneTable("a", SIZES, random.Random(1)) for _ in range(2))
     source = ZoneTable("b", SIZES, random.Random(1))
     source.raise_heartbeat(0, 100)
-    assert teller.merge_heartbeats(0, source.encoded_heartbeats(), source.encoded_ages(0))
+    assert sender.merge_heartbeats(0, source.encoded_heartbeats(), source.encoded_ages(0))
     late = 20 * SECOND
-    assert hearer.merge_heartbeats(late, teller.encoded_heartbeats(), teller.encoded_ages(late))
-    assert hearer.by_name["b"].heartbeat_at == 0
-    assert [zone.name for zone in hearer.update_silence(late)] == ["b"]
+    assert receiver.merge_heartbeats(late, sender.encoded_heartbeats(), sender.encoded_ages(late))
+    assert receiver.by_name["b"].heartbeat_at == 0
+    assert [zone.name for zone in receiver.update_silence(late)] == ["b"]
 
 
-def test_of_two_ages_of_one_heartbeat_the_greater_holds() -> None:
+def test_of_two_ages_of_one_heartbeat_the_greater_is_used() -> None:
     zones = ZoneTable("a", SIZES, random.Random(1))
     source = ZoneTable("b", SIZES, random.Random(1))
     source.raise_heartbeat(0, 100)
@@ -83,8 +85,8 @@
         assert zones.by_name["b"].heartbeat_at == raised_at
 
 
-def test_ages_of_any_length_are_taken_or_ignored() -> None:
-    """The sender is of a version without ages, or they are malformed."""
+def test_heartbeat_ages_of_the_wrong_length_are_ignored() -> None:
+    """The sender has a version without ages, or the ages are malformed."""
     source = ZoneTable("b", SIZES, random.Random(1))
     source.raise_heartbeat(0, 100)
     for ages in (b"", b"\x05", bytes([5] * 4)):
@@ -94,11 +96,11 @@
     assert source.encoded_ages(1000 * SECOND) == bytes([0, AGE_MAX, 0])
 
 
-def test_a_member_that_was_cut_off_does_not_hear_a_zone_that_ended_meanwhile() -> None:
-    net = standing({"a": 3, "b": 3, "c": 3})
+def test_a_member_that_was_cut_off_reports_a_zone_that_ended_meanwhile_as_silent() -> None:
+    net = running_cluster({"a": 3, "b": 3, "c": 3})
     links = net.partition(["m0"], net.names[1:])
     net.run(net.now + 4 * SECOND)
-    for name in of(net, "b"):
+    for name in members_of(net, "b"):
         net.off.add(name)
         net.kill(name)
     net.run(net.now + 20 * SECOND)
@@ -106,12 +108,12 @@
     net.run(net.now + 10 * SECOND)
     assert is_silent(net, "m0", "b")
     assert not is_silent(net, "m0", "c")
-    assert reports(net, "m0", "zone.back", "b") == []
+    assert report_times(net, "m0", "zone.back", "b") == []
 
 
-def test_a_member_that_starts_is_told_at_once_that_a_zone_is_long_silent() -> None:
-    net = standing({"a": 3, "b": 3, "c": 3})
-    for name in of(net, "b"):
+def test_a_starting_member_learns_at_once_that_a_zone_has_long_been_silent() -> None:
+    net = running_cluster({"a": 3, "b": 3, "c": 3})
+    for name in members_of(net, "b"):
         net.off.add(name)
         net.kill(name)
     net.run(net.now + 20 * SECOND)
@@ -119,11 +121,11 @@
     assert net.until(lambda: is_silent(net, "m1", "b"), 3 * SECOND) is not None
 
 
-# --- ways that are left -----------------------------------------------------------------------------------
+# --- remaining connections --------------------------------------------------------------------------------
 
 
-def bridged(view: ClusterView, began: int, ends: int) -> list[str]:
-    """The hosts of other zones to which a view that nobody answers sends."""
+def bridge_receivers(view: ClusterView, began: int, ends: int) -> list[str]:
+    """Return the hosts in other zones to which a view sends messages while it receives no answers."""
     hosts = []
     for now in range(began, ends, 50 * MS):
         for effect in view.on_timer(now):
@@ -135,19 +137,19 @@
 
 
 def test_contacts_that_do_not_answer_are_tried_again() -> None:
-    """Contacts were dropped but for one, whom a cut might have left out of reach for ever."""
+    """All contacts but one were dropped, and a cut might have made that one unreachable for ever."""
     settings = MembershipSettings(zone="a", zones=(("a", 1), ("b", 5)))
     view = ClusterView(MemberRecord("me", 1, 1, 0, State.ALIVE, "h0", 7000), settings, random.Random(1))
     view.start(0)
     for n in range(1, 6):
         record = MemberRecord(f"m{n}", 1, n, 0, State.ALIVE, f"h{n}", 7000, "", "b")
         view.zones.add_contact(record, False)
-    bridged(view, 0, 20 * SECOND)
-    tried = bridged(view, 20 * SECOND, 26 * SECOND)
-    assert set(tried) == {f"h{n}" for n in range(1, 6)}
+    bridge_receivers(view, 0, 20 * SECOND)
+    hosts = bridge_receivers(view, 20 * SECOND, 26 * SECOND)
+    assert set(hosts) == {f"h{n}" for n in range(1, 6)}
 
 
-def test_contacts_that_do_not_answer_are_neither_named_to_others_nor_kept_before_others() -> None:
+def test_unresponsive_contacts_are_not_named_to_others_and_are_replaced_first() -> None:
     zones = ZoneTable("a", SIZES, random.Random(1))
     for n in range(8):
         zones.add_contact(MemberRecord(f"m{n}", 1, n, 0, State.ALIVE, f"h{n}", 7000, "", "b"), True)
@@ -165,9 +167,9 @@
     assert not zone.unresponsive
 
 
-def test_a_member_whose_probes_fail_goes_on_speaking_to_other_zones() -> None:
-    """Its probes are slowed down, and its messages to other zones were so with them, up to nine times."""
-    net = standing({"a": 3, "b": 3})
+def test_a_member_whose_probes_fail_keeps_sending_to_other_zones() -> None:
+    """Its probes slow down; its messages to other zones were slowed down too, by a factor of up to nine."""
+    net = running_cluster({"a": 3, "b": 3})
     net.partition(["m0"], ["m1", "m2"])
     net.run(net.now + 15 * SECOND)
     before = net.running["m0"].view.counters["bridges"]
@@ -175,31 +177,31 @@
     assert net.running["m0"].view.counters["bridges"] - before >= 9
 
 
-def test_a_member_that_starts_and_cannot_receive_is_heard() -> None:
-    """It asked its seeds by streams only, which need both ways, and so knew nobody to send to."""
-    net = standing({"a": 1, "b": 3})
-    net.partition(of(net, "b"), ["m0"], one_way=True)
+def test_the_zone_of_a_starting_member_that_cannot_receive_is_not_silent() -> None:
+    """It contacted its seeds only by streams, which need both directions, and so knew no other member."""
+    net = running_cluster({"a": 1, "b": 3})
+    net.partition(members_of(net, "b"), ["m0"], one_way=True)
     net.run(net.now + 3 * SECOND)
     net.start("m0")
     net.run(net.now + 15 * SECOND)
-    assert not any(is_silent(net, name, "a") for name in of(net, "b"))
+    assert not any(is_silent(net, name, "a") for name in members_of(net, "b"))
 
 
 def test_a_member_that_cannot_send_still_hears_the_other_zones() -> None:
-    """Its own zone held it for dead and nobody sent to it; few in the others have its address."""
-    net = standing({"a": 40, "b": 4})
+    """Its own zone declared it dead and stopped sending to it; few members of other zones know it."""
+    net = running_cluster({"a": 40, "b": 4})
     net.partition(["m0"], net.names[1:], one_way=True)
     net.run(net.now + 15 * SECOND)
     began = net.now
     net.run(net.now + 20 * SECOND)
     assert not is_silent(net, "m0", "b")
-    assert [at for at in reports(net, "m0", "zone.silent", "b") if at > began] == []
+    assert [at for at in report_times(net, "m0", "zone.silent", "b") if at > began] == []
 
 
 @pytest.mark.parametrize("zones", [None, {"a": 12, "b": 4}, {"a": 40, "b": 4}], ids=["flat", "12", "40"])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_member_that_cannot_send_still_hears_of_cordons(zones: dict[str, int] | None, seed: int) -> None:
-    """Its cluster held it for dead and told it nothing: it went on sending clients to a cordoned endpoint."""
+def test_a_member_that_cannot_send_still_receives_cordons(zones: dict[str, int] | None, seed: int) -> None:
+    """Its cluster declared it dead and sent it nothing: it kept placing clients on a cordoned endpoint."""
     net = SimulatedCluster(sum(zones.values()) if zones else 12, seed, zones=zones)
     net.stand()
     net.run(net.now + 5 * SECOND)
