--- a/arrowseam/membership/codec.py
+++ b/arrowseam/membership/codec.py
@@ -61,7 +61,7 @@
     """Member counts of a zone, compiled by one of its speakers; only shown to operators."""
 
     zone: Annotated[str, Meta(min_length=1, max_length=ZONE_MAX)]
-    heartbeat: Annotated[int, Meta(ge=0, le=(1 << 32) - 1)]  # when made: the latest summary wins
+    heartbeat: Annotated[int, Meta(ge=0, le=(1 << 32) - 1)]  # at its creation: the latest summary wins
     author: Name
     active: Number
     dead: Number
--- a/arrowseam/membership/failure_detector.py
+++ b/arrowseam/membership/failure_detector.py
@@ -63,7 +63,7 @@
             self.health = max(0, min(HEALTH_MAX, self.health + change))
 
     def on_stall(self, stalled_for: int) -> None:
-        """Handle that this process did not run for ``stalled_for`` microseconds.
+        """Handle a stall: this process did not run for ``stalled_for`` microseconds.
 
         Probes in progress are dropped without a result. Otherwise a process that resumes after ten seconds
         would find all its probes unanswered and declare the whole cluster dead.
@@ -175,7 +175,7 @@
             self.adjust_health(-1)
 
     def on_nack(self, message: Datagram) -> None:
-        """Count that a member probing for us works, though the probed member did not answer it."""
+        """Count a NACK: the member probing for us works, though the probed one did not answer it."""
         if self.probe is not None and self.probe.number == message.number:
             self.probe.nacks += 1
 
--- a/arrowseam/membership/gossip.py
+++ b/arrowseam/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The gossip queue: each update is sent a small multiple of the logarithm of the cluster size times.
+"""The gossip queue: each update is sent a number of times proportional to the logarithm of the cluster size.
 
 An update replaces an earlier one about the same subject. Updates with the fewest transmissions go first, the
 newest of them before the others, so that a flood of updates does not delay a new one. The cost of selecting
--- a/arrowseam/membership/proxy_share.py
+++ b/arrowseam/membership/proxy_share.py
@@ -45,9 +45,8 @@
 
     def __init__(self, initial: int) -> None:
         self.value = initial
-        self._recent: deque[tuple[int, int]] = (
-            deque()
-        )  # (start of the period without a larger number, number), in descending order
+        # (start of the period without a larger number, number), by descending number.
+        self._recent: deque[tuple[int, int]] = deque()
 
     def update(self, now: int, number: int) -> int:
         """Add a number and return the maximum over ``DECREASE_DELAY``; ``now`` in microseconds."""
--- a/arrowseam/membership/zones.py
+++ b/arrowseam/membership/zones.py
@@ -41,13 +41,9 @@
     heartbeat_at: int | None = None  # when the zone raised its heartbeat, derived from ages in messages
     silent: bool = False
     summary: ZoneSummary | None = None
-    contacts: dict[str, MemberRecord] = field(
-        default_factory=dict
-    )  # the one that contacted us last comes last
+    contacts: dict[str, MemberRecord] = field(default_factory=dict)  # most recently heard one last
     awaiting_answer: str = ""  # name of the contact to which we last sent, until it answers
-    unresponsive: dict[str, None] = field(
-        default_factory=dict
-    )  # contacts that did not answer, in the order of retries
+    unresponsive: dict[str, None] = field(default_factory=dict)  # names of contacts, next retry first
 
     @property
     def preferred_contacts(self) -> list[MemberRecord]:
