--- a/benchmarks/fleet_worth.py
+++ b/benchmarks/proxy_count.py
@@ -1,7 +1,7 @@
 """Compares sources of the proxy count that the balancer is given: the configuration, the rule of the
 membership view, and the number of members that seem alive.
 
-    python benchmarks/fleet_worth.py [--seeds 8]
+    python benchmarks/proxy_count.py [--seeds 8]
 
 Twelve proxies and twelve servers with a capacity of forty connections each, of which three in four are in
 demand; half of the servers have just been replaced and are cold. killed: seven proxies end at once, and their
--- a/benchmarks/agreed.py
+++ b/benchmarks/rollouts.py
@@ -1,13 +1,13 @@
 """Agreed drains and releases under faults, too long for CI.
 
-    python benchmarks/agreed.py schedules [--count 10000] [--first 0]     # on a virtual clock, judged
-    python benchmarks/agreed.py planted [--count 60]                 # in how many each fault is caught
-    python benchmarks/agreed.py explore [--depth 6]                  # every order of events, three voters
-    python benchmarks/agreed.py walks [--count 2000]                 # long ways through the log, judged
-    python benchmarks/agreed.py gates [--count 200]                  # false halts, and how soon true ones
-    python benchmarks/agreed.py real [--members 12] [--rounds 5]     # a fleet of processes: times, costs
-
-    python benchmarks/agreed.py plays [--count 100] [--members 9]    # faults and orders on real processes
+    python benchmarks/rollouts.py schedules [--count 10000] [--first 0]     # on a virtual clock, judged
+    python benchmarks/rollouts.py planted [--count 60]                 # in how many each fault is caught
+    python benchmarks/rollouts.py explore [--depth 6]                  # every order of events, three voters
+    python benchmarks/rollouts.py walks [--count 2000]                 # long ways through the log, judged
+    python benchmarks/rollouts.py gates [--count 200]                  # false halts, and how soon true ones
+    python benchmarks/rollouts.py real [--members 12] [--rounds 5]     # a fleet of processes: times, costs
+
+    python benchmarks/rollouts.py plays [--count 100] [--members 9]    # faults and orders on real processes
 
 real: a fleet agrees; then, again and again, the leader is killed and started anew (time to a new leader), a
 release is begun and halted at a proxy drawn by lot (time until the last proxy knows); processor and memory at
