--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -63,11 +63,11 @@
     net.kill(name)
     began = net.now
 
-    def count_holding() -> int:
+    def count_unaware() -> int:
         return sum(name in net.here(p) for p in net.running.values())
 
-    first = net.until(lambda: count_holding() < len(net.running), 30 * SECOND)
-    net.until(lambda: count_holding() == 0, 30 * SECOND)
+    first = net.until(lambda: count_unaware() < len(net.running), 30 * SECOND)
+    net.until(lambda: count_unaware() == 0, 30 * SECOND)
     return (first or 0) / SECOND, (net.now - began) / SECOND
 
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -687,7 +687,7 @@
         self.process.wait()
 
 
-PUSH = b"x" * 98 + b"\r\n"  # a delivery; 100 bytes are a guess
+PUSH = b"x" * 98 + b"\r\n"  # a delivery, assumed to be of 100 bytes
 
 
 def run_servers(host: str) -> None:
