--- a/arrowseam/control/parts.py
+++ b/arrowseam/control/parts.py
@@ -58,5 +58,5 @@
     def run_command(self, words: list[str], body: bytes) -> Coroutine[tuple[bool, str]]:
         """Carry out a command; whether it was, and what became of it."""
 
-    def is_out_by_plan(self, endpoint: str) -> bool:
+    def is_cordoned_by_rollout(self, endpoint: str) -> bool:
         """Whether an endpoint is cordoned by agreement."""
--- a/arrowseam/control/server.py
+++ b/arrowseam/control/server.py
@@ -203,7 +203,7 @@
         return self._change_cordon(endpoint, True)
 
     def _uncordon(self, endpoint: str) -> bytes:
-        if self.rollouts is not None and self.rollouts.is_out_by_plan(endpoint):
+        if self.rollouts is not None and self.rollouts.is_cordoned_by_rollout(endpoint):
             return b"NAK out by agreement: undrain it\n"
         return self._change_cordon(endpoint, False)
 
--- a/arrowseam/proxy/cluster.py
+++ b/arrowseam/proxy/cluster.py
@@ -55,7 +55,7 @@
 
     def is_cordoned_by_rollout(self, endpoint: str) -> bool:
         """Whether an endpoint is out by consensus of the proxies."""
-        return self.rollouts is not None and self.rollouts.is_out_by_plan(endpoint)
+        return self.rollouts is not None and self.rollouts.is_cordoned_by_rollout(endpoint)
 
     def is_cordoned_by_operators(self, endpoint: str) -> bool:
         """Whether an endpoint is cordoned by hand at all proxies."""
--- a/arrowseam/rollouts/runtime.py
+++ b/arrowseam/rollouts/runtime.py
@@ -393,7 +393,7 @@
         self._execute(effects)
         return reason
 
-    def is_out_by_plan(self, endpoint: str) -> bool:
+    def is_cordoned_by_rollout(self, endpoint: str) -> bool:
         """Whether an endpoint is out on this proxy because of a permit."""
         return self.agent is not None and endpoint in self.agent.holder.endpoints_out
 
--- a/tests/test_wire_bytes_proxy.py
+++ b/tests/test_wire_bytes_proxy.py
@@ -271,7 +271,7 @@
     def counter_lines(self) -> Iterator[str]:
         return iter(["edge.agreed:3|g"])
 
-    def is_out_by_plan(self, endpoint: str) -> bool:
+    def is_cordoned_by_rollout(self, endpoint: str) -> bool:
         return endpoint == "s9"
 
 
