--- a/arrowseam/control/counters.py
+++ b/arrowseam/control/counters.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from arrowseam.control.parts import EndpointSources, Membership, Rollouts
+from arrowseam.control.interfaces import EndpointSources, Membership, Rollouts
 from arrowseam.request_handling.requests import RequestHandler
 from arrowseam.request_handling.statistics import FinalAnswer
 
--- a/arrowseam/control/server.py
+++ b/arrowseam/control/server.py
@@ -28,7 +28,7 @@
 from typing import Any
 
 from arrowseam.control.counters import render_counters
-from arrowseam.control.parts import EndpointSources, Membership, Rollouts
+from arrowseam.control.interfaces import EndpointSources, Membership, Rollouts
 from arrowseam.logs import log
 from arrowseam.net.clock import SECOND, clock
 from arrowseam.net.connection import Connection
