--- a/arrowseam/net/__init__.py
+++ b/arrowseam/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network side of arrowseam."""
+"""Networking: the event loop, connections, listeners, and the forwarding of bytes."""
--- a/arrowseam/net/buffer.py
+++ b/arrowseam/net/buffer.py
@@ -1,10 +1,10 @@
-"""A receive buffer: bytes read from a connection and not consumed yet."""
+"""A receive buffer: bytes that were read from a connection and are not consumed yet."""
 
 from __future__ import annotations
 
 INITIAL_SIZE = 512
-# Smallest read that is offered. Most connections carry short lines and never need more, and the whole proxy
-# may have to fit in 32 MB.
+# Space offered to a read, unless the limit leaves less. Most connections carry short lines and never need
+# more, and the whole proxy may have to fit in 32 MB.
 READ_SIZE = 1024
 
 
@@ -23,11 +23,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether it holds as much as it may."""
+        """Whether it holds ``limit`` bytes."""
         return self.end - self.start >= self.limit
 
     def free_space(self) -> memoryview:
-        """Where the next read may write; at least one byte unless the buffer is full.
+        """Return the space for the next read; at least one byte unless the buffer is full.
 
         The caller releases the view before the buffer is used again, and advances ``end`` by what it wrote.
         """
@@ -51,22 +51,22 @@
         self.data.extend(bytes(size - self.end))
 
     def append(self, data: bytes) -> None:
-        """Add bytes that were read elsewhere."""
+        """Append bytes that were read by other means."""
         self.data[self.end :] = data
         self.end += len(data)
 
     def find(self, pattern: bytes, offset: int = 0) -> int:
-        """The first position of ``pattern`` at or after ``offset``; -1 if there is none."""
+        """Return the first position of ``pattern`` at or after ``offset``; -1 if there is none."""
         at = self.data.find(pattern, self.start + offset, self.end)
         return at if at < 0 else at - self.start
 
     def rfind(self, pattern: bytes) -> int:
-        """The last position of ``pattern``; -1 if there is none."""
+        """Return the last position of ``pattern``; -1 if there is none."""
         at = self.data.rfind(pattern, self.start, self.end)
         return at if at < 0 else at - self.start
 
     def peek(self, size: int, offset: int = 0) -> bytes:
-        """A copy of up to ``size`` bytes from ``offset`` on."""
+        """Return a copy of up to ``size`` bytes from ``offset`` on."""
         at = self.start + offset
         return bytes(self.data[at : min(self.end, at + size)])
 
@@ -77,11 +77,11 @@
         return data
 
     def consume(self, size: int) -> None:
-        """Remove ``size`` bytes from the front; there must be as many."""
+        """Remove ``size`` bytes from the front; the buffer must hold at least as many."""
         self.start += size
 
     def remove(self, offset: int, size: int) -> None:
-        """Remove ``size`` bytes from the middle."""
+        """Remove ``size`` bytes from ``offset`` on."""
         at = self.start + offset
         self.data[at : self.end - size] = self.data[at + size : self.end]
         self.end -= size
--- a/arrowseam/net/clock.py
+++ b/arrowseam/net/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the proxy: monotonic, in microseconds."""
+"""The clock that all parts of the proxy use: monotonic, in microseconds."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def clock() -> int:
-    """The time now in microseconds; its zero is arbitrary and the same for all processes of this machine."""
+    """Return the time in microseconds; its zero is arbitrary but the same for all processes of a machine."""
     return time.monotonic_ns() // 1000
--- a/arrowseam/net/connection.py
+++ b/arrowseam/net/connection.py
@@ -1,6 +1,6 @@
-"""A non-blocking socket with its receive buffer and its state as epoll reported it.
+"""A non-blocking socket with its receive buffer and its state as reported by epoll.
 
-It must never know what the bytes mean.
+This module must not interpret the bytes.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from arrowseam.net.event_loop import EventLoop
 
-RECEIVE_LIMIT = 16384  # bytes buffered, unless said otherwise
-READS_PER_ROUND = 16  # for one connection before the others get their turn
-CLOSE_TIMEOUT = SECOND // 2  # for the peer to close its side, after the last byte that it sent
-# The same for a peer that keeps sending: 60 MB take seconds, and a reset would overtake our last message.
+RECEIVE_LIMIT = 16384  # bytes buffered, by default
+READS_PER_ROUND = 16  # of one connection, before the other tasks run
+CLOSE_TIMEOUT = SECOND // 2  # after the peer's last byte, for the peer to close its side
+# For a peer that keeps sending: 60 MB take seconds, and a reset would overtake our last message.
 CLOSE_TIMEOUT_SENDING = 5 * SECOND
 DISCARD_INTERVAL = 2 * MS  # between two rounds of discarding, so that the sender cannot occupy the CPU
-_DISCARDED = bytearray(65536)  # discarded input is read into this
+_DISCARD_BUFFER = bytearray(65536)
 
 
 class Connection:
@@ -32,11 +32,11 @@
     Attributes:
         received: bytes read and not consumed yet.
         owner: the task that is woken when something happens here.
-        readable, writable: a read or write may succeed; edge-triggered, so it is true until one would block.
+        readable, writable: a read or write may succeed; edge-triggered, so true until one would block.
         eof: nothing more will be read: the peer closed its side, or the connection broke.
         broken: an error occurred; nothing more can be written.
         hung_up: epoll reported that the peer closed its side or that the connection broke.
-        closed: closed here.
+        closed: closed by this process.
     """
 
     __slots__ = (
@@ -71,7 +71,7 @@
     # --- reading ---
 
     def read(self) -> bool:
-        """Read what has come, up to the buffer's limit; whether anything came."""
+        """Read what has arrived, up to the buffer's limit; return whether anything was read."""
         if not self.readable:
             return False
         received = self.received
@@ -104,31 +104,31 @@
         self.broken = self.eof = True
 
     def discard_input(self) -> bool:
-        """Discard what has come, in a bounded number of reads; whether anything came."""
-        came = len(self.received) > 0
+        """Discard what has arrived, in a bounded number of reads; return whether anything was discarded."""
+        discarded = len(self.received) > 0
         self.received.consume(len(self.received))
         for _ in range(READS_PER_ROUND):
             if not self.readable or self.eof or self.broken:
                 break
             try:
-                count = self.sock.recv_into(_DISCARDED)
+                count = self.sock.recv_into(_DISCARD_BUFFER)
             except (BlockingIOError, InterruptedError):
                 self.readable = False
             except OSError:
                 self.broken = self.eof = True
             else:
                 self.eof = count == 0
-                came = came or count > 0
-        return came
+                discarded = discarded or count > 0
+        return discarded
 
     def read_line(
         self, limit: int, deadline: int, should_stop: Callable[[], bool] = bool
     ) -> Coroutine[bytes | None]:
-        """The next line without its CRLF.
+        """Return the next line without its CRLF.
 
-        None at the end of the stream, at ``deadline``, for a line longer than ``limit``, or when no complete
-        line is there and ``should_stop`` says so. A line that ends in another way keeps its end, so that it
-        is not taken for a valid one.
+        Returns None at the end of the stream, at ``deadline``, for a line longer than ``limit``, or when no
+        complete line has arrived and ``should_stop`` returns true. A line that ends without CR keeps its LF,
+        so that it is not taken for a valid one.
         """
         while True:
             self.read()
@@ -144,9 +144,9 @@
     # --- writing ---
 
     def write(self, data: bytes | memoryview) -> int:
-        """Write what the socket takes now; how many bytes.
+        """Write what the socket accepts at once; return the number of bytes.
 
-        An error shows as ``broken``; what the peer sent before it stays readable.
+        An error sets ``broken``; what the peer sent before it stays readable.
         """
         if self.broken or self.closed or not self.writable:
             return 0
@@ -160,7 +160,7 @@
         return 0
 
     def send(self, data: bytes, deadline: int) -> Coroutine[bool]:
-        """Write all of it by ``deadline``; whether its last byte was written."""
+        """Write all of ``data`` by ``deadline``; return whether its last byte was written."""
         written = 0
         while not self.broken and not self.closed:
             written += self.write(memoryview(data)[written:])
@@ -176,13 +176,13 @@
 
     @property
     def peer_closed(self) -> bool:
-        """Whether the peer has closed its side, as far as is known; reads what has come."""
+        """Whether the peer is known to have closed its side; reads what has arrived."""
         self.read()
         return self.eof or self.hung_up or self.closed
 
     @property
     def is_healthy(self) -> bool:
-        """Whether both sides are still open, as far as is known."""
+        """Whether neither side is known to be closed."""
         return not (self.eof or self.broken or self.hung_up or self.closed)
 
     # --- closing ---
@@ -196,7 +196,7 @@
                 self.broken = True
 
     def close(self, reset: bool = False) -> None:
-        """Close at once; with ``reset`` the peer sees a connection reset."""
+        """Close at once; with ``reset`` the peer gets a connection reset."""
         if self.closed:
             return
         self.closed = True
@@ -207,9 +207,9 @@
         self.sock.close()
 
     def close_with_message(self, message: bytes) -> None:
-        """Send a last message and close at once, for lack of descriptors.
+        """Send a last message and close at once, when descriptors are scarce.
 
-        What the peer sent up to now is read and discarded: unread bytes make the kernel send a reset, which
+        What the peer has sent so far is read and discarded: unread bytes make the kernel send a reset, which
         would destroy the message on its way.
         """
         self.write(message)
@@ -221,9 +221,9 @@
     def close_gracefully(self, deadline: int) -> Coroutine[None]:
         """Close the sending side, discard input until the peer closes, then close.
 
-        A quiet peer is waited for until ``deadline``, one that keeps sending for longer. Guards against
-        clients that send up to 60 MB and lose our answer: their unread bytes would make the kernel send a
-        reset, which overtakes it.
+        Waits for a silent peer until ``deadline``, and longer for one that keeps sending. Guards against
+        lost answers to clients that send up to 60 MB: unread bytes make the kernel send a reset, which
+        overtakes the answer.
         """
         if not self.broken and not self.closed:
             self.shutdown_write()
--- a/arrowseam/net/event_loop.py
+++ b/arrowseam/net/event_loop.py
@@ -1,7 +1,7 @@
-"""The event loop: epoll, timers, tasks, signals and the budget of file descriptors.
+"""The event loop: epoll, timers, tasks, signals and the limit of file descriptors.
 
-It owns every file descriptor of the proxy. It must never know what bytes mean, decide anything about a
-request, block, or let one task's exception reach another.
+It owns every file descriptor of the proxy. It must not interpret bytes, make decisions about requests, block,
+or let the exception of one task reach another.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 
 WATCHED_EVENTS = select.EPOLLIN | select.EPOLLOUT | select.EPOLLRDHUP | select.EPOLLET
 EVENTS_PER_POLL = 256
-# Descriptors that connections to endpoints may not use: our own files and the connection to discovery.
+# Descriptors that connections to endpoints may not use: for the proxy's files and its discovery connection.
 OWN_DESCRIPTORS = 8
-# New clients are rejected while fewer than this number and a part of the limit (that divided by
-# ``SCARCE_DIVISOR``) are free: an established connection takes two, and discovery, the log and attempts under
-# way need some.
+# New clients are rejected while fewer descriptors are free than this number plus the limit divided by
+# ``SCARCE_DIVISOR``: an established connection takes two, and discovery, the log and running attempts need
+# some.
 SCARCE_DESCRIPTORS = 24
 SCARCE_DIVISOR = 32
-POLL_VALID_FOR = 10 * MS  # how old the last poll may be for who must know whether a peer is still there
-ROUND_RETRY = 100 * MS  # until ``on_round`` is called again after it failed
+POLL_VALID_FOR = 10 * MS  # age of the last poll up to which the known state of a peer counts as current
+ROUND_RETRY = 100 * MS  # delay before ``on_round`` is called again after an exception
 
 
 def _short_traceback() -> str:
@@ -46,19 +46,19 @@
 
 
 class EventLoop:
-    """Runs the tasks.
+    """Runs tasks as epoll events and timers require.
 
     Attributes:
-        watched: what each registered descriptor belongs to.
+        watched: the connection or task to which each registered descriptor belongs.
         on_round: called once a round with the time; returns when it wants to be called next, or None.
         stopped: set to end ``run`` after the current round.
-        descriptor_limit: most descriptors that this process may hold.
+        descriptor_limit: maximum number of descriptors that this process may hold.
         reserved_for_control: descriptors that clients may not use.
-        reserved_for_attempts: descriptors that requests not established yet may still need.
+        reserved_for_attempts: descriptors that requests without an established connection may still need.
         held_by_peer_process: descriptors that the other process of this proxy holds during a hot restart.
-        expendable: connections that may be closed for lack of descriptors, oldest first, each with the last
-            message owed to it: clients that have sent no request yet; and with an empty message those that
-            have their final answer.
+        expendable: connections that may be closed when descriptors are scarce, oldest first, each with the
+            last message to send: clients that have sent no request yet, and, with an empty message, those
+            that have received their final answer.
         spare_descriptor: held so that a connection can be accepted and answered when no other is left; -1
             while it is in use.
     """
@@ -113,11 +113,11 @@
         self.epoll.unregister(fd)
 
     def set_events(self, fd: int, readable: bool) -> None:
-        """Watch a descriptor of ``watch_readable``, or pause that."""
+        """Resume (``readable``) or pause watching a descriptor of ``watch_readable``."""
         self.epoll.modify(fd, select.EPOLLIN if readable else 0)
 
     def set_descriptor_limit(self, limit: int) -> None:
-        """Use at most so many descriptors, and no more than the process may have."""
+        """Use at most ``limit`` descriptors, and no more than the resource limit of the process."""
         self.descriptor_limit = min(limit, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
     @property
@@ -134,16 +134,16 @@
         return len(self.watched) + self.held_by_peer_process + OWN_DESCRIPTORS >= self.descriptor_limit
 
     def reclaim_descriptors(self) -> bool:
-        """Close expendable connections while descriptors are scarce; whether they are not any more.
+        """Close expendable connections while descriptors are scarce; return whether enough are free now.
 
-        Guards against hundreds of clients that connect and send nothing: these are rejected, not the next
-        client.
+        Guards against hundreds of clients that connect and send nothing: these are rejected instead of the
+        next client.
         """
         if self.descriptors_scarce:
-            # Those without a request first: those with an answer may still be reading it.
+            # First those without a request: the ones that were answered may still be reading.
             for conn, message in sorted(self.expendable.items(), key=lambda item: not item[1]):
                 if message and conn.read():
-                    continue  # its request has just come and is served first
+                    continue  # its request has just arrived and is served
                 if message:
                     conn.close_with_message(message)
                 conn.close()
@@ -158,7 +158,7 @@
         self.spare_descriptor = -1
 
     def on_connection_finished(self) -> None:
-        """A served connection has been closed: take the spare descriptor back, accept again."""
+        """Reopen the spare descriptor and accept again, after a served connection was closed."""
         if self.spare_descriptor < 0:
             with contextlib.suppress(OSError):
                 self.spare_descriptor = os.open("/dev/null", os.O_RDONLY)
@@ -189,9 +189,9 @@
         should_stop: Callable[[], bool] = bool,
         may_use_reserved: bool = False,
     ) -> Coroutine[Connection | None]:
-        """Connect by ``deadline`` or until ``should_stop`` says so; None if that failed.
+        """Connect by ``deadline`` or until ``should_stop`` returns true; return None on failure.
 
-        ``may_use_reserved`` allows a descriptor of those reserved. Guards against discovery being
+        ``may_use_reserved`` permits the use of a reserved descriptor. Guards against discovery being
         unreachable because clients and endpoints hold all others.
         """
         conn = self._start_connect(address, may_use_reserved)
@@ -214,7 +214,7 @@
     # --- tasks ---
 
     def start_task(self, coroutine: Coroutine[None], name: str, high_priority: bool = False) -> Task:
-        """Run a coroutine as a task from the next round on; ``name`` appears in the log if it fails."""
+        """Run a coroutine as a task from the next round on; ``name`` is logged if it fails."""
         task = Task(coroutine, name, high_priority)
         self.wake(task)
         return task
@@ -250,22 +250,22 @@
     # --- signals ---
 
     def on_signal(self, number: int, handler: Callable[[], None]) -> None:
-        """Call ``handler`` from the loop after a signal; several that come together count as one.
+        """Call ``handler`` from the loop after a signal; several that arrive together count as one.
 
-        A process has one wake-up pipe for all signals, which tells them apart by number. Were there a pipe
-        for each signal, the last one created would get them all.
+        All signals share one wake-up pipe, which carries their numbers: a process has a single wake-up
+        descriptor, so with a pipe for each signal the last one created would get them all.
         """
         self._signal_handlers[number] = handler
         if len(self._signal_handlers) == 1:
             # Set up before any handler, not when the task first runs: a signal in between would be lost.
-            ours, theirs = socket.socketpair()
-            theirs.setblocking(False)
-            signal.set_wakeup_fd(theirs.fileno(), warn_on_full_buffer=False)
-            self.start_task(self._read_signals(ours, theirs), "signal")
+            reader, writer = socket.socketpair()
+            writer.setblocking(False)
+            signal.set_wakeup_fd(writer.fileno(), warn_on_full_buffer=False)
+            self.start_task(self._read_signals(reader, writer), "signal")
         signal.signal(number, lambda *_: None)
 
-    def _read_signals(self, ours: socket.socket, theirs: socket.socket) -> Coroutine[None]:
-        conn = Connection(self, ours, self.current_task)
+    def _read_signals(self, reader: socket.socket, writer: socket.socket) -> Coroutine[None]:
+        conn = Connection(self, reader, self.current_task)
         while True:
             conn.read()
             for number in sorted(set(conn.received.take(len(conn.received)))):
@@ -273,13 +273,13 @@
                     self._signal_handlers.get(number, lambda: None)()
                 except Exception as error:
                     log("signal.failed", f"signal {number}: {error!r}")
-            _ = theirs  # kept open as long as this runs
+            _ = writer  # the socket stays open as long as this coroutine
             yield None
 
     # --- rounds ---
 
     def run_until(self, condition: Callable[[], bool], deadline: int) -> None:
-        """Run until ``condition`` holds or until ``deadline``; used before ``run``."""
+        """Run until ``condition`` holds or until ``deadline``; for the time before ``run``."""
         on_round = self.on_round
 
         def checked_round(now: int) -> int:
@@ -304,15 +304,15 @@
             try:
                 next_round = self.on_round(clock())
             except Exception:
-                # One failed round must not end all connections with the process.
+                # One failed round must not end the process with all its connections.
                 log("round.failed", f"round: {_short_traceback()}", "error")
                 next_round = clock() + ROUND_RETRY
 
     def _wait_time(self, next_round: int | None) -> float:
-        """How long the next poll may wait, in seconds; -1 = until something happens."""
+        """Return how long the next poll may wait, in seconds; -1 = until an event."""
         timers = self._timers
         while timers and timers[0][2].wake_at != timers[0][0]:
-            heapq.heappop(timers)  # its task has run since
+            heapq.heappop(timers)  # outdated: the task has run since
         if self._ready or self._ready_high_priority:
             return 0
         if timers and (next_round is None or timers[0][0] < next_round):
@@ -327,26 +327,26 @@
                 self.wake(task)
 
     def _poll(self, wait: float) -> None:
-        """Poll epoll: mark the connections that it reports and wake their owners."""
+        """Poll epoll: update the reported connections and wake their owners."""
         self._unregistered.clear()
         for fd, events in self.epoll.poll(wait, EVENTS_PER_POLL):
-            found = None if fd in self._unregistered else self.watched.get(fd)
-            if isinstance(found, Connection):
+            watched = None if fd in self._unregistered else self.watched.get(fd)
+            if isinstance(watched, Connection):
                 if events & select.EPOLLOUT or events & (select.EPOLLERR | select.EPOLLHUP):
-                    found.writable = True
+                    watched.writable = True
                 if events & ~select.EPOLLOUT:
-                    found.readable = True
+                    watched.readable = True
                 if events & (select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR):
-                    found.hung_up = True
-                self.wake(found.owner)
+                    watched.hung_up = True
+                self.wake(watched.owner)
             else:
-                self.wake(found)
+                self.wake(watched)
         self._polled_at = clock()
 
     def poll_if_stale(self) -> None:
-        """Poll again if the last poll is old, for who acts on a peer's being connected.
+        """Poll again if the last poll is old, before acting on the assumption that a peer is connected.
 
-        Guards against a long round: a client that left at its beginning would be noticed only after its end.
+        Guards against long rounds: a client that left at the beginning would be noticed only after the end.
         """
         if clock() - self._polled_at >= POLL_VALID_FOR:
             self._poll(0)
--- a/arrowseam/net/forwarding.py
+++ b/arrowseam/net/forwarding.py
@@ -1,6 +1,6 @@
-"""Forwards bytes both ways between a client and the endpoint that took it.
+"""Forwards bytes both ways between a client and the endpoint that accepted it.
 
-It must never know what the bytes mean: a protocol's message framer tells where messages end.
+This module must not interpret the bytes: a protocol's message framer finds the ends of messages.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from arrowseam.net.connection import READS_PER_ROUND, Connection
 from arrowseam.net.task import Coroutine
 
-HANDOVER_BYTES_MAX = 2048  # of an incomplete message that may be handed to another process
+HANDOVER_BYTES_MAX = 2048  # of an incomplete message on either side, for a connection that is handed over
 
 
 class Side(Enum):
@@ -24,42 +24,42 @@
 
 
 class MessageFramer:
-    """Decides how many bytes of one direction may be forwarded; this one allows all.
+    """Decides how many bytes of one direction may be forwarded; this base class allows all.
 
-    A protocol's own framer releases complete messages, and a part only of one that is longer than the buffer.
+    The framer of a protocol releases complete messages, and parts only of one that is longer than the buffer.
 
     Attributes:
-        inside_message: what was released ends inside a message.
-        expects_reply: what was released last asks for an answer.
+        inside_message: the released bytes end inside a message.
+        expects_reply: the bytes released last require a reply.
     """
 
     inside_message = False
     expects_reply = True
 
     def release(self, received: Buffer, released: int) -> int:
-        """How many bytes at the front may be forwarded; ``released`` of them were allowed before."""
+        """Return how many bytes at the front may be forwarded; ``released`` of them were allowed before."""
         del released
         return len(received)
 
     def on_own_message_sent(self) -> None:
-        """A message of the proxy's own has been sent in this direction."""
+        """Called when a message of the proxy itself has been sent in this direction."""
 
 
 class Forwarder:
-    """Forwards between a client and an endpoint, from the moment the connection is established.
+    """Forwards between a client and an endpoint once the connection is established.
 
-    Each side's buffer is bounded: a side whose bytes the other does not take is not read. Messages of the
-    proxy's own go between two forwarded messages only.
+    Each side's buffer is bounded: nothing is read from a side while the other does not accept its bytes.
+    Messages of the proxy itself are sent only between two forwarded messages.
 
     Attributes:
         client_framer: frames what the client sends.
         endpoint_framer: frames what the endpoint sends.
         releasable_from_client: bytes at the front of the client's buffer that may be forwarded.
-        releasable_from_endpoint: the same of the endpoint's buffer.
-        own_message: what of the proxy's own message to the endpoint is still to be sent.
-        reply_awaited_since: when the endpoint was first asked something since it last sent any byte; None if
-            no reply is awaited.
-        last_received_at: when the endpoint last sent any byte.
+        releasable_from_endpoint: the same for the endpoint's buffer.
+        own_message: the unsent rest of a message of the proxy itself to the endpoint.
+        reply_awaited_since: time of the first message that required a reply since the endpoint last sent a
+            byte; None if no reply is awaited.
+        last_received_at: when a byte was last received from the endpoint.
         closed_by: the side that closed first.
     """
 
@@ -99,29 +99,29 @@
             self._await_reply()
 
     def _forward_to_endpoint(self) -> bool:
-        """From the client to the endpoint; whether anything moved."""
-        came = self.client.read()
+        """Forward from the client to the endpoint; return whether bytes were read or written."""
+        progressed = self.client.read()
         framer = self.client_framer
         if self.own_message and not self.releasable_from_client and not framer.inside_message:
             self._send_own_message()
         if self.own_message:
-            return came
+            return progressed
         releasable = framer.release(self.client.received, self.releasable_from_client)
         if releasable:
             count = self._write(self.client, self.endpoint, releasable)
             releasable -= count
             if count:
-                came = True
+                progressed = True
                 if framer.expects_reply:
                     self._await_reply()
         self.releasable_from_client = releasable
-        return came
+        return progressed
 
     def _forward_to_client(self) -> bool:
-        """From the endpoint to the client; whether anything moved."""
+        """Forward from the endpoint to the client; return whether bytes were read or written."""
         endpoint = self.endpoint
-        came = endpoint.read()
-        if came:
+        progressed = endpoint.read()
+        if progressed:
             self.reply_awaited_since, self.last_received_at = None, clock()
         releasable = self.endpoint_framer.release(endpoint.received, self.releasable_from_endpoint)
         if endpoint.eof:
@@ -129,21 +129,21 @@
         if releasable:
             count = self._write(endpoint, self.client, releasable)
             releasable -= count
-            came = came or count > 0
+            progressed = progressed or count > 0
         self.releasable_from_endpoint = releasable
-        return came
+        return progressed
 
     def forward(self) -> Side | None:
-        """Forward what has come; the side that closed, once all is forwarded that it sent."""
+        """Forward what has arrived; return the side that closed, once all that it sent is forwarded."""
         client, endpoint = self.client, self.endpoint
         for _ in range(READS_PER_ROUND):
-            came = self._forward_to_endpoint()
-            came = self._forward_to_client() or came
+            progressed = self._forward_to_endpoint()
+            progressed = self._forward_to_client() or progressed
             if client.broken or (client.eof and (not len(client.received) or endpoint.broken)):
                 self.closed_by = self.closed_by or Side.CLIENT
             elif endpoint.eof and not len(endpoint.received):
                 self.closed_by = self.closed_by or Side.ENDPOINT
-            if self.closed_by or not came:
+            if self.closed_by or not progressed:
                 return self.closed_by
         client.loop.wake(client.owner)
         return None
@@ -151,7 +151,7 @@
     # --- handover to another process ---
 
     def can_be_handed_over(self) -> bool:
-        """Whether another process could continue: both sides are open, no message is forwarded in part."""
+        """Whether another process could continue: both sides are open, and no message is partly forwarded."""
         partial = (
             self.releasable_from_client
             or self.releasable_from_endpoint
@@ -169,7 +169,7 @@
         )
 
     def export_state(self) -> dict[str, Any]:
-        """What is received and not forwarded, and since when a reply is awaited, for another process."""
+        """Return what another process needs: unforwarded bytes, and since when a reply is awaited."""
         return {
             "outward": self.client.received.peek(HANDOVER_BYTES_MAX).decode("latin-1"),
             "inward": self.endpoint.received.peek(HANDOVER_BYTES_MAX).decode("latin-1"),
@@ -179,9 +179,9 @@
     # --- closing ---
 
     def send_last_message(self, message: bytes, deadline: int) -> Coroutine[bool]:
-        """Forward the rest of the endpoint's message, then send the client our own; whether all was sent.
+        """Forward the rest of the endpoint's message, then send ``message``; return whether all was sent.
 
-        At most half of the time goes to the endpoint's message.
+        At most half of the time until ``deadline`` is spent on the endpoint's message.
         """
         forward_deadline = clock() + (deadline - clock()) // 2
         while not self.client.broken and not self.endpoint.eof and clock() < forward_deadline:
@@ -195,18 +195,18 @@
         return (yield from self.client.send(message, deadline))
 
     def close_gracefully(self, deadline: int) -> Coroutine[None]:
-        """Close both sides in the same way: a reset is passed on as a reset, a close as a close."""
+        """Close both sides the same way: a reset is forwarded as a reset, a close as a close."""
         if self.closed_by is Side.ENDPOINT:
-            first, other = self.endpoint, self.client
+            closed_side, other_side = self.endpoint, self.client
         else:
-            first, other = self.client, self.endpoint
-        if first.broken:
-            first.close()
-            other.close(reset=True)
+            closed_side, other_side = self.client, self.endpoint
+        if closed_side.broken:
+            closed_side.close()
+            other_side.close(reset=True)
             return
         if self.closed_by is Side.CLIENT:
-            # The client may have closed only its sending side: what the endpoint still sends is for it.
-            other.shutdown_write()
+            # The client may have closed only its sending side and still expect the endpoint's bytes.
+            other_side.shutdown_write()
             while not self.endpoint.eof and not self.client.broken and clock() < deadline:
                 if not self._forward_to_client():
                     yield deadline
--- a/arrowseam/net/listener.py
+++ b/arrowseam/net/listener.py
@@ -13,13 +13,13 @@
 from arrowseam.net.event_loop import EventLoop
 from arrowseam.net.task import Coroutine
 
-ACCEPTS_PER_ROUND = 64  # connections accepted earlier are served before the rest of the backlog
+ACCEPTS_PER_ROUND = 64  # the accepted connections are served before the rest of the backlog
 BACKLOG = 1024
 _WHOLE_BACKLOG = 1 << 20
 
 
 def open_listener(address: Address) -> socket.socket:
-    """A listening socket; another process of this proxy may hold the address too. Raises OSError."""
+    """Open a listening socket; another process of this proxy may have the same address. Raises OSError."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -47,10 +47,10 @@
     """Accepts a part of the backlog each round, and all of it when it is closed.
 
     Attributes:
-        paused: no connection is accepted before another has ended, for lack of descriptors.
-        active: connections accepted here and not finished.
-        is_unix: it is a unix socket, between the processes of this proxy.
-        address: where it listens; empty for a unix socket.
+        paused: out of descriptors: no connection is accepted until another one ends.
+        active: number of connections accepted here and not finished.
+        is_unix: a unix socket, for the processes of this proxy.
+        address: the local address; empty for a unix socket.
     """
 
     def __init__(
@@ -78,9 +78,9 @@
             self.accept(ACCEPTS_PER_ROUND)
             yield None
 
-    def accept(self, most: int) -> None:
-        """Accept up to so many connections of the backlog and start their tasks."""
-        for _ in range(most):
+    def accept(self, limit: int) -> None:
+        """Accept up to ``limit`` connections of the backlog and start their tasks."""
+        for _ in range(limit):
             if self.sock.fileno() < 0:
                 return
             try:
@@ -91,7 +91,7 @@
                 continue
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE) and self.loop.spare_descriptor >= 0:
-                    # The spare descriptor lets this connection be answered; it is reopened later.
+                    # Its number serves to accept this connection and answer it; it is reopened later.
                     self.loop.release_spare_descriptor()
                     continue
                 self._pause(error)
@@ -100,7 +100,7 @@
 
     def _start(self, sock: socket.socket) -> None:
         if not self.is_unix:
-            with contextlib.suppress(OSError):  # already reset: its own task finds that out
+            with contextlib.suppress(OSError):  # already reset: its task will notice
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.active += 1
         task = self.loop.start_task(iter(()), self.name, self.high_priority)  # type: ignore[arg-type]
@@ -111,7 +111,7 @@
     def _pause(self, error: OSError) -> None:
         """Accept nothing until a connection ends.
 
-        Guards against a busy loop: the backlog keeps the socket readable, and every accept would fail again.
+        Guards against a busy loop: the backlog keeps the socket readable while every accept fails.
         """
         self.paused = True
         self.loop.set_events(self.sock.fileno(), readable=False)
@@ -126,18 +126,18 @@
             self.loop.on_connection_finished()
 
     def unpause(self) -> None:
-        """Accept again, if it was paused."""
+        """Accept connections again if the listener was paused."""
         if self.paused and self.sock.fileno() >= 0:
             self.paused = False
             self.loop.set_events(self.sock.fileno(), readable=True)
 
     def close(self) -> None:
-        """Accept all that is in the backlog, then close."""
+        """Accept the whole backlog, then close."""
         self.accept(_WHOLE_BACKLOG)
         self.release()
 
     def release(self) -> None:
-        """Close; the backlog stays with the process that holds the other copy of this socket."""
+        """Close without accepting; the backlog stays with a process that holds a copy of this socket."""
         if self.sock.fileno() >= 0:
             self.loop.unwatch(self.sock.fileno())
             self.sock.close()
--- a/arrowseam/net/peer_transport.py
+++ b/arrowseam/net/peer_transport.py
@@ -1,7 +1,7 @@
-"""The sockets by which proxies talk to each other: datagrams, and streams that carry one frame each way.
+"""The sockets between proxies: datagrams, and streams that carry one frame each way.
 
-A frame begins with its length in four bytes. This module must never know what a frame says, look a host name
-up, or handle more than a few datagrams in a round of the event loop.
+A frame begins with its length in four bytes. This module must not interpret frames, look up host names, or
+handle more than a few datagrams in a round of the event loop.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from arrowseam.outcomes import StreamOutcome
 
 DATAGRAMS_PER_ROUND = 32
-DATAGRAM_BYTES_MAX = 1401  # one more than is allowed, so that longer ones are recognized
-STREAMS_MAX = 16  # under way at once, for each direction
-REPLY_TIMEOUT = 500 * MS  # of a stream of ours, connecting included
-REQUEST_TIMEOUT = 2 * SECOND  # of a stream that another proxy opened
+DATAGRAM_BYTES_MAX = 1401  # one more than is allowed, so that longer ones are detected
+STREAMS_MAX = 16  # open at once, for each direction
+REPLY_TIMEOUT = 500 * MS  # of an outgoing stream, including connecting
+REQUEST_TIMEOUT = 2 * SECOND  # of an incoming stream
 LENGTH_BYTES = 4
 FRAME_BYTES_MAX = 4 << 20
 RECEIVE_LIMIT = 65536
-CHECKED_HOSTS_MAX = 10_000  # hosts come from the network
+CHECKED_HOSTS_MAX = 10_000  # bounds the cache: the hosts are received from the network
 
 
 def is_ip_address(host: str) -> bool:
-    """Whether it is an address; a name would have to be looked up, which blocks."""
+    """Whether ``host`` is an IP address; looking up a name would block."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
@@ -45,9 +45,9 @@
 
     Attributes:
         on_datagram: called with each datagram.
-        on_request: called with each frame of a stream that another proxy opened; returns the reply, length
-            included, or None for no reply.
-        counters: what could not be sent or was not taken.
+        on_request: called with each frame of an incoming stream; returns the reply, length included, or None
+            for no reply.
+        counters: messages that could not be sent, frames that were too long, streams that were rejected.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         loop.watch_readable(self.sock.fileno(), self.task)
 
     def close(self) -> None:
-        """Close both sockets; streams under way end by themselves."""
+        """Close both sockets; open streams end by themselves."""
         if self.sock.fileno() < 0:
             return
         self.loop.unwatch(self.sock.fileno())
@@ -92,7 +92,7 @@
     # --- datagrams ---
 
     def send(self, address: Address, data: bytes) -> None:
-        """Send a datagram. One that cannot be sent is lost, as it may be on its way."""
+        """Send a datagram. One that cannot be sent counts as lost, which callers must expect anyway."""
         if not self._is_ip_address(address[0]):
             self.counters["unsent"] += 1
             return
@@ -110,7 +110,7 @@
                     data = self.sock.recv(DATAGRAM_BYTES_MAX)
                 except (BlockingIOError, InterruptedError):
                     break
-                except OSError:  # an ICMP error that a datagram of ours brought back
+                except OSError:  # an ICMP error caused by an earlier datagram
                     continue
                 self.on_datagram(data)
             yield None
@@ -164,7 +164,7 @@
             conn.close()
 
     def _read_frame(self, conn: Connection, deadline: int) -> Coroutine[bytes | None]:
-        """A frame without its length; None if it is too long or did not come completely."""
+        """Return a frame without its length; None if it is too long or incomplete."""
         data, size = bytearray(), -1
         while True:
             conn.read()
--- a/arrowseam/net/task.py
+++ b/arrowseam/net/task.py
@@ -1,8 +1,8 @@
 """Coroutines as the event loop runs them.
 
-A coroutine is a generator that yields the time at which it wants to run again, or None. It is resumed then,
-or as soon as anything happens on a connection that it owns or another part wakes it. It must check for itself
-what has changed, so a spurious wake-up does no harm.
+A coroutine is a generator that yields the time at which it must run again, or None. It is resumed then, or
+earlier after an event on a connection that it owns or a call of ``EventLoop.wake``. It must check what has
+changed, so spurious wake-ups are harmless.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
     """A coroutine that the event loop runs.
 
     Attributes:
-        wake_at: when it wants to run again, microseconds; None: only when it is woken.
-        is_queued: it runs in this round or the next.
-        high_priority: it runs before the others of a round.
+        wake_at: when it runs again, microseconds; None: only when it is woken.
+        is_queued: whether it is going to run in this round or the next.
+        high_priority: whether it runs before the other tasks of a round.
     """
 
     __slots__ = ("coroutine", "high_priority", "is_queued", "name", "wake_at")
