--- a/arrowseam/net/event_loop.py
+++ b/arrowseam/net/event_loop.py
@@ -330,17 +330,17 @@
         """Poll epoll: update the reported connections and wake their owners."""
         self._unregistered.clear()
         for fd, events in self.epoll.poll(wait, EVENTS_PER_POLL):
-            watched = None if fd in self._unregistered else self.watched.get(fd)
-            if isinstance(watched, Connection):
+            target = None if fd in self._unregistered else self.watched.get(fd)
+            if isinstance(target, Connection):
                 if events & select.EPOLLOUT or events & (select.EPOLLERR | select.EPOLLHUP):
-                    watched.writable = True
+                    target.writable = True
                 if events & ~select.EPOLLOUT:
-                    watched.readable = True
+                    target.readable = True
                 if events & (select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR):
-                    watched.hung_up = True
-                self.wake(watched.owner)
+                    target.hung_up = True
+                self.wake(target.owner)
             else:
-                self.wake(watched)
+                self.wake(target)
         self._polled_at = clock()
 
     def poll_if_stale(self) -> None:
--- a/arrowseam/proxy/__init__.py
+++ b/arrowseam/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""One proxy: the wiring of the program's parts, reload, and its side of a hot restart."""
+"""One proxy: assembles the parts of the program, reloads settings, and takes part in hot restarts."""
--- a/arrowseam/proxy/cluster.py
+++ b/arrowseam/proxy/cluster.py
@@ -1,6 +1,6 @@
-"""A proxy's part in its cluster: membership and rollouts, where the operator file configures them.
+"""The proxy's membership and rollouts, where the operator file configures them.
 
-Their modules are imported only then, since they cost memory.
+Their modules are imported only if they are configured, to save memory.
 """
 
 from __future__ import annotations
@@ -19,46 +19,46 @@
     """Starts, reconfigures and stops membership and rollouts.
 
     Attributes:
-        membership: this proxy as a member of its cluster; None = not configured.
-        rollouts: its part in the consensus on drains and releases; None = not configured.
+        membership: the membership of the cluster; None = not configured.
+        rollouts: the drains and releases that the proxies agree on; None = not configured.
     """
 
     def __init__(self, proxy: Proxy, is_ready: Callable[[], bool]) -> None:
-        """``is_ready``: whether the process before this one, of the same name, has let go."""
+        """``is_ready``: whether the previous process of this member name has stopped accepting clients."""
         self.proxy, self.is_ready = proxy, is_ready
         self.membership: MembershipRuntime | None = None
         self.rollouts: RolloutRuntime | None = None
         self.state_dir = ""
 
     def configure(self, operator: Operator) -> None:
-        """Go by these settings from now on."""
+        """Apply the settings of an operator file."""
         self.state_dir = operator.state_dir
         self._configure_membership(operator.fleet)
         self._configure_rollouts(operator.agree)
 
     def update_settings(self) -> None:
-        """The proxy's own settings have changed."""
+        """Apply the proxy's changed configuration."""
         if self.membership is not None:
             self.membership.reconfigure(self.proxy.config)
 
     def leave(self) -> None:
-        """This process shuts down: the other members are notified."""
+        """Notify the other members that this process shuts down."""
         if self.membership is not None:
             self.membership.leave()
 
     def stop(self) -> None:
-        """The new process of a hot restart goes on under this name: the others are not notified."""
+        """Stop without notifying the other members: a new process continues under the same name."""
         if self.rollouts is not None:
             self.rollouts.stop()
         if self.membership is not None:
             self.membership.stop()
 
     def is_cordoned_by_rollout(self, endpoint: str) -> bool:
-        """Whether an endpoint is out by consensus of the proxies."""
+        """Whether an endpoint is cordoned by agreement of the proxies."""
         return self.rollouts is not None and self.rollouts.is_cordoned_by_rollout(endpoint)
 
     def is_cordoned_by_operators(self, endpoint: str) -> bool:
-        """Whether an endpoint is cordoned by hand at all proxies."""
+        """Whether operators have cordoned an endpoint in the whole cluster."""
         return self.membership is not None and endpoint in self.membership.view.cordons.cordoned()
 
     def _configure_membership(self, settings: Fleet | None) -> None:
@@ -97,7 +97,7 @@
         from arrowseam.rollouts.runtime import RolloutRuntime
 
         def restart() -> str:
-            """Why this proxy cannot be restarted; empty if it is."""
+            """Restart this proxy; return why that failed, or an empty string."""
             if settings.restart == "handover":
                 return start_successor(own_command_line())
             self.proxy.drain()  # a supervisor starts the process again
--- a/arrowseam/proxy/configuration.py
+++ b/arrowseam/proxy/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the files that a proxy is started with and checks them against each other."""
+"""Reads the configuration files of a proxy and checks that they are consistent."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from arrowseam.address import parse_address
 from arrowseam.config.proxy import Config, ConfigError, overlay_bundle, read_config
 
-if TYPE_CHECKING:  # imported only where they are configured: they cost memory and time to start
+if TYPE_CHECKING:  # imported at run time only where configured, to save memory and time at the start
     from arrowseam.config.operator import Operator
     from arrowseam.protocols.nats.config import NatsConfig
 
 
 def read_proxy_config(path: str, has_operator_file: bool = False, bundle: bytes = b"") -> Config:
-    """The configuration, with the settings of a bundle over its own.
+    """Read the configuration, overridden by the settings of a bundle.
 
-    With an operator file there may be no discovery service.
+    With an operator file the discovery service is optional.
 
     Raises:
-        ConfigError: the file or the bundle is not what it must be.
+        ConfigError: the file or the bundle is invalid.
         OSError: the file cannot be read.
     """
     config = read_config(overlay_bundle(Path(path).read_bytes(), bundle))
@@ -41,14 +41,14 @@
 
 
 def read_nats_settings(config: Config, nats_path: str | None, operator: Operator | None) -> NatsConfig | None:
-    """The settings of the NATS protocol, from its own file or the operator file; None if there are none.
+    """Read the settings of the NATS protocol from its own file or the operator file; None if neither has any.
 
     Raises:
-        ConfigError: a file is not what it must be, or does not go with the other ones.
+        ConfigError: a file is invalid or contradicts another one.
         OSError: the file cannot be read.
     """
     if nats_path and operator is not None and operator.nats is not None:
-        raise ConfigError("operator file: nats: --nats says it already")
+        raise ConfigError("operator file: nats: already given by --nats")
     nats_text = Path(nats_path).read_bytes() if nats_path else None
     nats_config = None
     if nats_text is not None:
@@ -71,18 +71,18 @@
 
 
 def _check_distinct_addresses(config: Config, nats_config: NatsConfig | None) -> None:
-    """Two listeners on one address: the system allows it, and gives each some of the other's connections."""
+    """Reject two listeners on one address: the kernel would allow it and share connections among them."""
     addresses = [parse_address(text) for text in (config.listen, config.control) if text]
     if nats_config is not None:
         optional = (nats_config.listen, nats_config.health, nats_config.agent)
         addresses += [address for address in optional if address]
-    fixed = [address for address in addresses if address[1]]  # port 0 is any that is free
+    fixed = [address for address in addresses if address[1]]  # port 0 stands for any free port
     if len(fixed) > len(set(fixed)):
-        raise ConfigError("configuration: two things listen on one address")
+        raise ConfigError("configuration: two listeners have the same address")
 
 
 def effective_config(config: Config, nats_config: NatsConfig | None) -> Config:
-    """The settings that the balancer goes by.
+    """Return the configuration with the balancer settings that the protocols require.
 
     NATS servers report no latencies, so with NATS the balancer must not wait for such reports.
     """
@@ -92,6 +92,6 @@
 
 
 def read_configuration(path: str, nats_path: str | None) -> tuple[Config, NatsConfig | None]:
-    """Both, without an operator file; raises ConfigError or OSError."""
+    """Read both files, where there is no operator file; raises ConfigError or OSError."""
     config = read_proxy_config(path)
     return config, read_nats_settings(config, nats_path, None)
--- a/arrowseam/proxy/hot_restart.py
+++ b/arrowseam/proxy/hot_restart.py
@@ -1,4 +1,4 @@
-"""What a proxy does in a hot restart: it exports its state, hands over its connections or takes them over."""
+"""The proxy's part in a hot restart: exports its state, hands over connections or accepts them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ProxyHotRestart:
-    """The proxy's side of ``HotRestart``, in both roles; keeps the cordon file too."""
+    """The proxy's side of ``HotRestart``, as the old and as the new process; also writes the cordon file."""
 
     def __init__(self, proxy: Proxy, restart_socket: RestartSocket, cordon_file: CordonFile) -> None:
         self.proxy, self.cordon_file = proxy, cordon_file
@@ -32,7 +32,7 @@
             proxy.control.on_cordon_change = self.on_own_cordon_change
 
     def start(self, offer: HandoverOffer | None) -> None:
-        """Take up what the process before this one left or hands over, and be ready for the next one."""
+        """Adopt the state that the previous process saved or hands over, and wait for the next process."""
         if offer is None:
             for endpoint in self.cordon_file.load():
                 self.on_cordon_change(endpoint, True)
@@ -48,22 +48,22 @@
         self.proxy.discovery.request_update(complete=False)
 
     def is_serving(self) -> bool:
-        """Whether the process before this one has let go."""
+        """Whether the previous process, if any, has stopped accepting clients."""
         return self.hot_restart.is_serving
 
     def on_own_cordon_change(self, endpoint: str, cordoned: bool) -> None:
         """An endpoint was cordoned or uncordoned at this process."""
-        kept = self._cordoned_by_operators()
-        if cordoned and endpoint not in kept:
-            kept.append(endpoint)  # out by a drain too; the cluster is told of the cordon after this
-        self.cordon_file.save(kept)
+        endpoints = self._cordoned_by_operators()
+        if cordoned and endpoint not in endpoints:
+            endpoints.append(endpoint)  # also drained by a rollout, and the cluster is notified only later
+        self.cordon_file.save(endpoints)
         self.hot_restart.notify_cordon_change(endpoint, cordoned)
 
     def _cordoned_by_operators(self) -> list[str]:
-        """The endpoints that are cordoned by hand.
+        """Return the endpoints that operators have cordoned.
 
-        What is out by a drain only is not among them: a process that starts hears from the other proxies what
-        is out, and would keep out for ever what has come back while it was down.
+        Endpoints that are only drained by a rollout are left out: a starting process learns of those from the
+        other proxies, and would otherwise cordon for ever what was undrained while it was down.
         """
         cluster = self.proxy.cluster
         return [
@@ -72,10 +72,10 @@
             if not cluster.is_cordoned_by_rollout(endpoint) or cluster.is_cordoned_by_operators(endpoint)
         ]
 
-    # --- what HotRestart asks of the proxy ---
+    # --- called by HotRestart ---
 
     def export_state(self) -> HandoverState:
-        """What the new process starts with."""
+        """Return the state with which the new process starts."""
         proxy = self.proxy
         sources = proxy.endpoint_sources
         return HandoverState(
@@ -91,19 +91,19 @@
         self.proxy.driver.cordon_by_name(endpoint, cordoned, uncordoned_at)
 
     def on_connection_id_change(self, connection_id: str, in_use: bool) -> None:
-        """The id of a client's connection is in use at the other process, or is not any more."""
+        """A connection id of a client came into use at the other process, or went out of use."""
         self.proxy.edge_server.note_other_process_id(connection_id, in_use)
 
     def on_other_process_ended(self) -> None:
-        """No connection id is in use elsewhere any more."""
+        """The other process has ended: none of its connection ids is in use any more."""
         self.proxy.edge_server.other_process_ids.clear()
 
     def hand_over_and_drain(self) -> None:
-        """The new process serves: hand over the established connections and drain."""
+        """Hand over the established connections and drain, as the new process is serving."""
         handler = self.proxy.request_handler
         log(
             "hot_restart.note",
-            f"hot restart: the new process serves; {len(handler.active)} requests go there",
+            f"hot restart: the new process is serving; handing over {len(handler.active)} requests",
         )
         handler.begin_handover(self._hand_over, lambda: self.hot_restart.has_unsent_messages)
         self.proxy.cluster.stop()
@@ -120,14 +120,14 @@
     def accept_connection(
         self, state: dict[str, Any], client_socket: socket.socket, endpoint_socket: socket.socket
     ) -> None:
-        """Go on with a connection; raises KeyError, TypeError or ValueError if ``state`` cannot be read."""
+        """Take over a connection; raises KeyError, TypeError or ValueError if ``state`` is invalid."""
         from arrowseam.protocols.nats.session import ENDPOINT_BYTES_MAX
 
         proxy = self.proxy
         request = proxy.driver.import_connection(decode_connection(state))
         server = proxy.edge_server if state["wire"] == "lines" else proxy.nats_server
         if server is None:
-            raise ValueError("its protocol is not served here")
+            raise ValueError("this process does not serve the protocol of the connection")
         early_bytes = [str(state[direction]).encode("latin-1") for direction in ("outward", "inward")]
         task = proxy.loop.start_task(iter(()), request.name)  # type: ignore[arg-type]
         client = Connection(proxy.loop, client_socket, task, edge_server.CLIENT_BYTES_MAX)
--- a/arrowseam/proxy/reload.py
+++ b/arrowseam/proxy/reload.py
@@ -1,6 +1,6 @@
-"""Reloading the configuration while connections are established.
+"""Reloads the configuration while connections are established.
 
-Everything is read and checked first: a bad file changes nothing.
+All files are read and checked before anything is applied: an invalid file changes nothing.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
     from arrowseam.protocols.nats.config import NatsConfig
     from arrowseam.proxy.server import Proxy
 
-FIXED_KEYS = ("name", "listen", "control")  # need a restart
+FIXED_KEYS = ("name", "listen", "control")  # changes need a restart
 FIXED_NATS_KEYS = ("listen", "health", "agent")
 
 
 class ConfigurationReloader:
-    """Reads the files again at SIGHUP, and takes over bundles of settings that the proxies agreed on.
+    """Reads the files again at SIGHUP, and applies bundles of settings that the proxies agreed on.
 
     Attributes:
-        config_path: the file of the configuration.
-        bundle: the settings that lie over that file's own, as the proxies agreed; empty = none.
-        task: the reload under way that waits for an operator file.
+        config_path: path of the configuration file.
+        bundle: the agreed settings that override those of the file; empty = none.
+        task: the running reload that waits for an operator file.
     """
 
     def __init__(self, proxy: Proxy) -> None:
@@ -39,9 +39,9 @@
         self._is_requested = False
 
     def reload(self, path: str, nats_path: str | None, operator_path: str | None) -> None:
-        """Read the files again and take over what can change while connections are established.
+        """Read the files again and apply what can change while connections are established.
 
-        Logs what cannot, and a bad file.
+        Logs what needs a restart, and errors of the files.
         """
         if operator_path is None:
             try:
@@ -52,17 +52,17 @@
             return
         self._is_requested = True
         if self.task is None:
-            steps = self._reload_with_operator_file(path, nats_path, operator_path)
-            self.task = self.proxy.loop.start_task(steps, "reload")
+            coroutine = self._reload_with_operator_file(path, nats_path, operator_path)
+            self.task = self.proxy.loop.start_task(coroutine, "reload")
 
     def _reload_with_operator_file(
         self, path: str, nats_path: str | None, operator_path: str
     ) -> Coroutine[None]:
-        """The same with an operator file, which a worker evaluates while the loop goes on."""
+        """Reload with an operator file, which a worker evaluates while the event loop runs."""
         from arrowseam.workers.script import evaluate_in_background
 
         try:
-            while self._is_requested:  # a signal that comes meanwhile is about files that are not read yet
+            while self._is_requested:  # a signal in the meantime asks for files that are not read yet
                 self._is_requested = False
                 try:
                     config = self._read_again(path, has_operator_file=True)
@@ -75,7 +75,7 @@
             self.task = None
 
     def check_bundle(self, bundle: bytes) -> str:
-        """Why a bundle of settings could not be taken over; empty if it could."""
+        """Return why a bundle of settings cannot be applied; empty if it can."""
         try:
             self._read_again(self.config_path, True, bundle)
         except (OSError, ConfigError) as error:
@@ -83,7 +83,7 @@
         return ""
 
     def apply_bundle(self, bundle: bytes) -> str:
-        """Take a bundle over in place of the last one; otherwise why not, and the last one stays."""
+        """Apply a bundle in place of the last one; on failure keep the last one and return why."""
         try:
             config = self._read_again(self.config_path, True, bundle)
         except (OSError, ConfigError) as error:
@@ -95,7 +95,7 @@
         return ""
 
     def _read_again(self, path: str, has_operator_file: bool = False, bundle: bytes | None = None) -> Config:
-        """Raises ConfigError also if a key is missing that the last configuration had."""
+        """Read the configuration; raises ConfigError also for the lack of a key that the last one had."""
         config = read_proxy_config(path, has_operator_file, self.bundle if bundle is None else bundle)
         if missing := sorted(self.proxy.config.keys - config.keys):
             raise ConfigError(f"configuration: incomplete, {missing[0].lstrip('.')} is missing")
@@ -103,10 +103,10 @@
 
     def _refuse(self, error: Exception) -> None:
         self.proxy.request_handler.statistics.reloads_failed += 1
-        log("reload.refused", f"reload: {error}; the old settings stay", "error")
+        log("reload.refused", f"reload: {error}; the old settings remain in effect", "error")
 
     def _apply(self, config: Config, nats_config: NatsConfig | None, operator: Operator | None) -> None:
-        """Take over what has been read and checked."""
+        """Apply what has been read and checked."""
         proxy = self.proxy
         previous = proxy.config
         proxy.request_handler.statistics.reloads_succeeded += 1
@@ -123,11 +123,11 @@
             self._apply_operator(operator, config, is_renumbered)
         proxy.loop.set_descriptor_limit(config.descriptor_limit)
         proxy.discovery.switch_to(config.discovery)
-        kept = f"; changed but kept until a restart: {', '.join(need_restart)}" if need_restart else ""
-        log("reload.done", f"reload: done{kept}")
+        unapplied = f"; changed but kept until a restart: {', '.join(need_restart)}" if need_restart else ""
+        log("reload.done", f"reload: done{unapplied}")
 
     def _apply_nats(self, nats_config: NatsConfig | None) -> list[str]:
-        """Give the NATS server its settings; returns the keys that differ but need a restart."""
+        """Apply the NATS settings; return the changed keys that need a restart."""
         server = self.proxy.nats_server
         if server is None or nats_config is None:
             return []
--- a/arrowseam/proxy/server.py
+++ b/arrowseam/proxy/server.py
@@ -1,4 +1,4 @@
-"""The wiring of the program's parts into one proxy. The parts hold the logic, this holds the order."""
+"""Assembles one proxy. The parts contain the logic; this module determines the order of construction."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 from arrowseam.proxy.reload import ConfigurationReloader
 from arrowseam.request_handling.requests import RequestHandler
 
-if TYPE_CHECKING:  # imported only where they are configured: they cost memory and time to start
+if TYPE_CHECKING:  # imported at run time only where configured, to save memory and time at the start
     from arrowseam.config.operator import Operator
     from arrowseam.control.server import Control
     from arrowseam.endpoint_sources.sources import EndpointSources
     from arrowseam.protocols.nats.config import NatsConfig
     from arrowseam.protocols.nats.server import NatsServer
 
-# Names of listening sockets; two processes tell them each other in a hot restart.
+# Names of listening sockets, by which the processes of a hot restart refer to them.
 EDGE_LISTENER = "front"
 CONTROL_LISTENER = "control"
 NATS_LISTENER = "nats"
@@ -44,8 +44,8 @@
 class Proxy:
     """The parts of one proxy; one request handler serves all protocols.
 
-    ``restart_socket`` and ``offer`` are for hot restarts: the socket by which the next process finds this
-    one, and what the process before this one hands over.
+    ``restart_socket`` and ``offer`` are for hot restarts: the socket at which the next process finds this
+    one, and what the previous process hands over.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self.loop.start_task(check_endpoint(self.loop, self.driver, endpoint, address), "health check")
 
     def _wait_for_endpoint_sources(self) -> None:
-        """Read the files first: otherwise the first clients are rejected for want of a list."""
+        """Wait until the files are read: without endpoints the first clients would be rejected."""
         from arrowseam.endpoint_sources.sources import INITIAL_LOAD_TIMEOUT
 
         sources = self.endpoint_sources
@@ -119,7 +119,7 @@
         server = Control(self.loop, self.request_handler, self._is_ready)
         server.endpoint_sources = self.endpoint_sources
         self.loop.reserved_for_control += RESERVED_DESCRIPTORS
-        self._listen(parse_address(self.config.control), CONTROL_LISTENER, server.serve, urgent=True)
+        self._listen(parse_address(self.config.control), CONTROL_LISTENER, server.serve, high_priority=True)
         return server
 
     def _start_nats(self, nats_config: NatsConfig) -> NatsServer:
@@ -145,25 +145,25 @@
         address: Address,
         name: str,
         serve: Callable[[Connection], Coroutine[None]],
-        urgent: bool = False,
+        high_priority: bool = False,
     ) -> Listener:
-        """Listen on the socket that the old process hands over, or on one of our own."""
+        """Listen on the socket that the old process hands over, or on a new one."""
         sock = self.offer.take_socket(name, address) if self.offer is not None else None
-        return Listener(self.loop, sock or open_listener(address), name, serve, urgent)
+        return Listener(self.loop, sock or open_listener(address), name, serve, high_priority)
 
     def _is_ready(self) -> bool:
-        """Whether the process before this one has let go."""
+        """Whether the previous process, if any, has stopped accepting clients."""
         return self.hot_restart is None or self.hot_restart.is_serving()
 
     def set_config(self, config: Config) -> None:
-        """New settings, for all that happens from now on; the parts read theirs whenever they need them."""
+        """Apply new settings; most parts read theirs from the configuration whenever they need them."""
         self.config = self.edge_server.config = self.discovery.config = config
         if self.nats_server is not None:
             self.nats_server.config = config
         self.driver.update_settings(config)
 
     def reload(self, path: str, nats_path: str | None = None, operator_path: str | None = None) -> None:
-        """Read the files again (SIGHUP, which would end a process that does not handle it)."""
+        """Read the files again, at SIGHUP (unhandled, this signal would end the process)."""
         self.reloader.reload(path, nats_path, operator_path)
 
     def drain(self) -> None:
