--- a/arrowseam/control/__init__.py
+++ b/arrowseam/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control: what operators and their tools ask of a running proxy."""
+"""Control: answers the commands of operators and their tools at a running proxy."""
--- a/arrowseam/control/counters.py
+++ b/arrowseam/control/counters.py
@@ -1,4 +1,4 @@
-"""The counters of a proxy, in the form of statsd. Their names are read by the operators' tools."""
+"""The counters of a proxy in the statsd format. Operators' tools depend on their names."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     membership: Membership | None = None,
     rollouts: Rollouts | None = None,
 ) -> bytes:
-    """All counters, a line each, then a line ``--``."""
+    """Return all counters, one per line, then a line ``--``."""
     statistics, driver = handler.statistics, handler.driver
-    # Classes of the settings and those that have been dropped, each with all three from the start.
+    # Configured classes, and dropped ones that have counters; each lists all final answers from the start.
     class_names = [*handler.config.classes, *sorted({name for name, _ in statistics.answers})]
     lines = [
         f"edge.replies.{name}.{answer}:{statistics.answers[name, answer]}|c"
--- a/arrowseam/control/interfaces.py
+++ b/arrowseam/control/interfaces.py
@@ -1,4 +1,4 @@
-"""What control asks of the parts of a proxy that only some configurations have."""
+"""The parts of a proxy that only some configurations have, as control calls them."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class EndpointSources(Protocol):
-    """The sources of endpoints."""
+    """The sources of endpoints, with an operator file."""
 
     def counter_lines(self) -> Iterator[str]:
         """Lines for ``counters``."""
 
     def endpoint_rows(self) -> Iterator[dict[str, Any]]:
-        """Each endpoint."""
+        """One row for each endpoint."""
 
     def source_rows(self) -> Iterator[dict[str, Any]]:
-        """Each source."""
+        """One row for each source."""
 
     def allow(self, name: str) -> bool:
-        """Let one large removal of a source through; False if there is no such source."""
+        """Accept the next large removal of a source, once; False if there is no such source."""
 
 
 class Membership(Protocol):
@@ -31,16 +31,16 @@
         """Lines for ``counters``."""
 
     def rows(self) -> Iterator[dict[str, Any]]:
-        """Each member, each zone, and the cordons."""
+        """One row for each member and each zone, and one with the cordons."""
 
     def can_cordon(self, endpoint: str) -> bool:
         """Whether a cordon of this endpoint would reach the cluster."""
 
     def set_cordon(self, endpoint: str, cordoned: bool) -> None:
-        """Notify the cluster of a cordon or its end."""
+        """Notify the cluster that an endpoint was cordoned or uncordoned."""
 
     def declare_left(self, name: str) -> bool:
-        """A dead member will not come back; False if there is no such member."""
+        """Mark a dead member as left for good; False if there is no such member."""
 
 
 class Rollouts(Protocol):
@@ -50,13 +50,13 @@
         """Lines for ``counters``."""
 
     def status_rows(self) -> Iterator[dict[str, Any]]:
-        """The agreed state."""
+        """The rows of the agreed state."""
 
     def decision_rows(self) -> Iterator[dict[str, Any]]:
-        """The decisions, in order."""
+        """The rows of the decisions, in order."""
 
     def run_command(self, words: list[str], body: bytes) -> Coroutine[tuple[bool, str]]:
-        """Carry out a command; whether it was, and what became of it."""
+        """Run a command; return whether it succeeded, and a text for the operator."""
 
     def is_cordoned_by_rollout(self, endpoint: str) -> bool:
         """Whether an endpoint is cordoned by agreement."""
--- a/arrowseam/control/server.py
+++ b/arrowseam/control/server.py
@@ -1,23 +1,23 @@
-"""Control: what operators and their tools ask of a running proxy, one command a connection.
-
-    health            ACK once this process can serve, else NAK
-    counters          the counters, a line each, then a line ``--``
-    cordon ID         no request goes to endpoint ID any more; ACK, or NAK where no list has named it
-    uncordon ID       endpoint ID may serve again
-    members           with an operator file: each endpoint, a JSON object a line, then a line ``--``
-    sources           the same of each source of endpoints
-    allow SOURCE      the next version of that file may drop more than ``max_removed``, once
-    fleet             with fleet(...): each member, a JSON object a line, then a line ``--``
-    forget MEMBER     a member that is dead to this proxy will not come back: it gets no share any more
-    agree             with agree(...): the agreed state, a JSON object a line, then a line ``--``
-    release log       the decisions, the same way
+"""The control server: answers the commands of operators and their tools, one command per connection.
+
+    health            ACK if this process can serve clients, else NAK
+    counters          the counters, one per line, then a line ``--``
+    cordon ID         send no more requests to endpoint ID; ACK, or NAK if it has been in no list
+    uncordon ID       let endpoint ID serve again
+    members           with an operator file: each endpoint, one JSON object per line, then a line ``--``
+    sources           each source of endpoints, in the same form
+    allow SOURCE      let the next version of that file remove more than ``max_removed``, once
+    fleet             with fleet(...): each member, one JSON object per line, then a line ``--``
+    forget MEMBER     declare that a member which this proxy holds dead will not return: it loses its share
+    agree             with agree(...): the agreed state, one JSON object per line, then a line ``--``
+    release log       the decisions, in the same form
     drain ID..., undrain ID [off], release plan|start|halt|resume|back|cancel, agree off|reset
-                      agreed with the other proxies; ACK or NAK and what became of it. ``release plan
-                      settings bytes=N`` is followed by N bytes. ``off``: it will not come back, so its
-                      drain or permit ends; ``reset``: a new epoch from this proxy's state, for when a
-                      majority of voters has lost its own.
+                      commands that need the agreement of the other proxies; ACK or NAK and a text.
+                      ``release plan settings bytes=N`` is followed by N bytes. ``off``: the endpoint or
+                      proxy will not return, so its drain or permit ends; ``reset``: begin a new epoch from
+                      this proxy's state, for when a majority of voters has lost its own.
 
-The server waits for nothing but its caller's line and never holds up clients.
+The server never blocks while it waits for its caller, so clients are not delayed.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 from arrowseam.request_handling.requests import RequestHandler
 
 LINE_BYTES_MAX = 512
-CALLERS_MAX = 16  # the oldest that has not sent its line makes room for the next
-RESERVED_DESCRIPTORS = CALLERS_MAX + 8  # kept back from clients
-REQUEST_TIMEOUT = 5 * SECOND  # for a caller's line
+CALLERS_MAX = 16  # beyond this, the one that has waited longest without sending its line is closed
+RESERVED_DESCRIPTORS = CALLERS_MAX + 8  # reserved: clients cannot use them
+REQUEST_TIMEOUT = 5 * SECOND  # for a caller to send its line
 ANSWER_TIMEOUT = SECOND
-ROWS_PER_ROUND = 250  # written in one round of the event loop: there may be 10,000
+ROWS_PER_ROUND = 250  # written per round of the event loop; there may be 10,000 rows
 BUNDLE_BYTES_MAX = 64 << 10
 ROLLOUT_COMMANDS = ("agree", "drain", "undrain", "release")
 
@@ -54,15 +54,15 @@
     """Answers commands.
 
     Attributes:
-        endpoint_sources, membership, rollouts: None where the configuration has none.
-        on_cordon_change: notified of each cordon and uncordon here; None = nobody is.
-        waiting: callers that have not sent a whole line, oldest first.
+        endpoint_sources, membership, rollouts: None if they are not configured.
+        on_cordon_change: called after each cordon and uncordon command, if set.
+        waiting: callers that have not sent a complete line, oldest first.
     """
 
     def __init__(
         self, loop: EventLoop, handler: RequestHandler, is_ready: Callable[[], bool] = lambda: True
     ) -> None:
-        """``is_ready``: whether the process before this one has let go."""
+        """``is_ready``: whether the previous process, if any, has stopped accepting clients."""
         self.loop, self.handler, self.driver, self.is_ready = loop, handler, handler.driver, is_ready
         self.endpoint_sources: EndpointSources | None = None
         self.membership: Membership | None = None
@@ -87,7 +87,7 @@
     # --- connections ---
 
     def serve(self, conn: Connection) -> Coroutine[None]:
-        """Answer one caller."""
+        """Read the command of one caller and answer it."""
         conn.received.limit = LINE_BYTES_MAX
         if len(self.waiting) >= CALLERS_MAX:
             self._close_oldest()
@@ -97,7 +97,7 @@
         finally:
             self.waiting.pop(conn, None)
         if line is None:
-            return  # a line that was cut: half an id may be another endpoint's
+            return  # a truncated line: part of an id may be the id of another endpoint
         words = line.decode("ascii", "replace").split()
         rows = self._rows(words)
         if rows is not None:
@@ -120,11 +120,11 @@
     def _read_line(self, conn: Connection) -> Coroutine[bytes | None]:
         line = yield from conn.read_line(LINE_BYTES_MAX, clock() + REQUEST_TIMEOUT)
         if line is None:
-            return b"" if conn.received.is_full else None  # too long for a command
+            return b"" if conn.received.is_full else None  # too long: answered as an unknown command
         return line.removesuffix(b"\n")
 
     def _rows(self, words: list[str]) -> Iterator[dict[str, Any]] | None:
-        """The rows of a command that is answered by a table; None for any other command."""
+        """Return the rows of a command that is answered by rows; None for any other command."""
         if words == ["members"] and self.endpoint_sources is not None:
             return self.endpoint_sources.endpoint_rows()
         if words == ["fleet"] and self.membership is not None:
@@ -137,9 +137,9 @@
 
     def _send_rows(self, conn: Connection, rows: Iterator[dict[str, Any]]) -> Coroutine[None]:
         deadline = clock() + ANSWER_TIMEOUT
-        while part := list(islice(rows, ROWS_PER_ROUND)):
+        while batch := list(islice(rows, ROWS_PER_ROUND)):
             deadline = clock() + ANSWER_TIMEOUT
-            if not (yield from conn.send(b"".join(map(encode_row, part)), deadline)):
+            if not (yield from conn.send(b"".join(map(encode_row, batch)), deadline)):
                 return
             yield from self.loop.yield_turn()
         yield from conn.send(LAST_LINE, deadline)
@@ -148,7 +148,7 @@
     def _run_rollout_command(
         self, rollouts: Rollouts, conn: Connection, words: list[str]
     ) -> Coroutine[bytes]:
-        """A command that is agreed with the other proxies; a bundle of settings may follow the line."""
+        """Run a command that the other proxies must agree on; a bundle of settings may follow its line."""
         size = next((word.removeprefix("bytes=") for word in words if word.startswith("bytes=")), "0")
         if not size.isdigit() or int(size) > BUNDLE_BYTES_MAX:
             return b"NAK a bundle of %d bytes at most\n" % BUNDLE_BYTES_MAX
@@ -159,7 +159,7 @@
         return f"{'ACK' if succeeded else 'NAK'} {text}\n".encode()
 
     def _read_bundle(self, conn: Connection, size: int) -> Coroutine[bytes | None]:
-        """So many bytes after the line; None if they do not come."""
+        """Read ``size`` bytes after the line; None if they do not arrive."""
         bundle, deadline = bytearray(), clock() + REQUEST_TIMEOUT
         while len(bundle) < size:
             conn.read()
@@ -170,10 +170,10 @@
                 yield deadline
         return bytes(bundle)
 
-    # --- commands that are answered at once ---
+    # --- commands that are answered immediately ---
 
     def answer(self, line: bytes) -> bytes:
-        """The answer to one line."""
+        """Return the answer to one line."""
         words = line.decode("ascii", "replace").split()
         command = self._commands.get((words[0], len(words) - 1)) if words else None
         return command(*words[1:]) if command is not None else UNKNOWN_COMMAND
@@ -228,5 +228,5 @@
 
 
 def encode_row(row: dict[str, Any]) -> bytes:
-    """One JSON object as a line."""
+    """Encode a row as one line with a JSON object."""
     return json.dumps(row, separators=(",", ":")).encode() + b"\n"
--- a/arrowseam/logs/__init__.py
+++ b/arrowseam/logs/__init__.py
@@ -1,9 +1,9 @@
-"""Log lines: events with names and named fields, as text for people or as JSON lines for machines.
+"""Structured logging: named events with fields, as text for people or as JSON lines for machines.
 
-Until ``configure_logs`` is called lines are text on standard error, and no library is imported: a proxy may
-take 32 MB in all.
+Until ``configure_logs`` is called, lines are text on standard error, and no library is imported: a proxy may
+use only 32 MB of memory.
 
-The text form is the message alone. The JSON form has ``time``, ``level``, ``event``, ``message`` and the
+The text format is the message alone. The JSON format has ``time``, ``level``, ``event``, ``message`` and the
 fields. The event names are listed in ``docs/operators/watched-files.md``; ``EVENTS`` is the same list for
 the tests.
 """
@@ -90,23 +90,23 @@
     print(text, file=sys.stderr, flush=True)
 
 
-_write: Callable[[str, str, str, dict[str, Any]], None] = _write_text
+_write_event: Callable[[str, str, str, dict[str, Any]], None] = _write_text
 _lowest_level = LEVELS.index("debug")
 
 
 def log(event: str, text: str, level: str = "info", **fields: Any) -> None:
-    """Write one event: its name, one line for people, and fields for machines."""
+    """Log one event: its name, one line of text for people, and fields for machines."""
     if LEVELS.index(level) >= _lowest_level:
-        _write(level, event, text, fields)
+        _write_event(level, event, text, fields)
 
 
-def configure_logs(form: str = "text", level: str = "debug") -> None:
-    """From now on write events of this level and above, as ``text`` or ``json``."""
-    global _write, _lowest_level
+def configure_logs(log_format: str = "text", level: str = "debug") -> None:
+    """Write events of this level and above from now on, as ``text`` or ``json``."""
+    global _write_event, _lowest_level
     _lowest_level = LEVELS.index(level)
-    if form == "json":
+    if log_format == "json":
         from arrowseam.logs.structured import json_writer
 
-        _write = json_writer()
+        _write_event = json_writer()
     else:
-        _write = _write_text
+        _write_event = _write_text
--- a/arrowseam/logs/structured.py
+++ b/arrowseam/logs/structured.py
@@ -1,6 +1,6 @@
-"""JSON lines through the standard library's ``logging`` and python-json-logger.
+"""Writes JSON lines by the standard library's ``logging`` and python-json-logger.
 
-It is imported only if ``log(format="json")`` is set: it takes 1.2 MB.
+Imported only if ``log(format="json")`` is set, since it uses 1.2 MB of memory.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 def json_writer() -> Callable[[str, str, str, dict[str, Any]], None]:
-    """A function that writes an event (level, name, text, fields) as a JSON line on standard error."""
+    """Return a function that writes an event (level, name, text, fields) as a JSON line to standard error."""
     logger = logging.getLogger("arrowseam")
     logger.propagate = False
-    logger.setLevel(logging.DEBUG)  # the level is checked before an event gets here
+    logger.setLevel(logging.DEBUG)  # ``arrowseam.logs.log`` filters by level
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter(
@@ -30,7 +30,7 @@
         )
     )
     logger.handlers[:] = [handler]
-    logging.raiseExceptions = False  # if the disk behind the log is full, no tracebacks in it as well
+    logging.raiseExceptions = False  # no tracebacks in the log when its disk is full
 
     def write(level: str, event: str, text: str, fields: dict[str, Any]) -> None:
         logger.log(
@@ -41,5 +41,5 @@
 
 
 def _without_reserved_names(fields: dict[str, Any]) -> dict[str, Any]:
-    """``logging`` raises on fields that have the name of one of its own: they get a ``_`` appended."""
+    """Append ``_`` to field names that ``logging`` uses itself: it raises an exception for those."""
     return {f"{key}_" if key in RESERVED_FIELDS else key: value for key, value in fields.items()}
