--- a/arrowseam/proxy/configuration.py
+++ b/arrowseam/proxy/configuration.py
@@ -78,7 +78,7 @@
         addresses += [address for address in optional if address]
     fixed = [address for address in addresses if address[1]]  # port 0 stands for any free port
     if len(fixed) > len(set(fixed)):
-        raise ConfigError("configuration: two listeners have the same address")
+        raise ConfigError("configuration: two listeners on one address")
 
 
 def effective_config(config: Config, nats_config: NatsConfig | None) -> Config:
