--- a/arrowseam/endpoint_sources/sources.py
+++ b/arrowseam/endpoint_sources/sources.py
@@ -89,7 +89,7 @@
         self.files.watch()
         self.loop.wake(self.publisher)
 
-    def renumber(self) -> None:
+    def republish_endpoints(self) -> None:
         """The settings have other zones or machine types."""
         self.merged.republish_all()
         self.loop.wake(self.publisher)
--- a/arrowseam/proxy/reload.py
+++ b/arrowseam/proxy/reload.py
@@ -142,7 +142,7 @@
             return
         proxy.endpoint_sources.config = config
         if is_renumbered:
-            proxy.endpoint_sources.renumber()
+            proxy.endpoint_sources.republish_endpoints()
         proxy.endpoint_sources.configure(operator)
         proxy.cluster.configure(operator)
         configure_logs(operator.log.format, operator.log.level)
