--- a/arrowseam/control/parts.py
+++ b/arrowseam/control/parts.py
@@ -20,7 +20,7 @@
     def source_rows(self) -> Iterator[dict[str, Any]]:
         """Each source."""
 
-    def allow(self, name: str) -> bool:
+    def allow_large_removal(self, name: str) -> bool:
         """Let one large removal of a source through; False if there is no such source."""
 
 
--- a/arrowseam/control/server.py
+++ b/arrowseam/control/server.py
@@ -192,7 +192,7 @@
     def _allow(self, source: str) -> bytes:
         if self.endpoint_sources is None:
             return UNKNOWN_COMMAND
-        if not self.endpoint_sources.allow(source):
+        if not self.endpoint_sources.allow_large_removal(source):
             return b"NAK unknown source\n"
         log("control.allow", f"control: allow {source}", source=source)
         return ACK
--- a/arrowseam/endpoint_sources/file_sources.py
+++ b/arrowseam/endpoint_sources/file_sources.py
@@ -98,7 +98,7 @@
             self.watcher.watch(sorted({servers.file for servers in self.settings.values()}))
         self.loop.wake(self.reader)
 
-    def allow(self, name: str) -> bool:
+    def allow_large_removal(self, name: str) -> bool:
         """Let one large removal through; False if there is no such source."""
         if name not in self.settings:
             return False
--- a/arrowseam/endpoint_sources/sources.py
+++ b/arrowseam/endpoint_sources/sources.py
@@ -94,9 +94,9 @@
         self.merged.republish_all()
         self.loop.wake(self.publisher)
 
-    def allow(self, name: str) -> bool:
+    def allow_large_removal(self, name: str) -> bool:
         """Let one large removal of a source through; False if there is no such source."""
-        return self.files.allow(name)
+        return self.files.allow_large_removal(name)
 
     def _log_retired(self, names: Iterable[str]) -> None:
         for name in names:
