--- a/arrowseam/endpoint_sources/__init__.py
+++ b/arrowseam/endpoint_sources/__init__.py
@@ -1,1 +1,1 @@
-"""Where endpoints come from: watched files, and the discovery service beside them, merged into one list."""
+"""Sources of endpoints, watched files and the discovery service, and their merging into one list."""
--- a/arrowseam/endpoint_sources/file_reader.py
+++ b/arrowseam/endpoint_sources/file_reader.py
@@ -1,6 +1,6 @@
-"""Reads a file of endpoints, whatever lies at its path, without waiting for a FIFO or a device.
+"""Reads an endpoint file without ever blocking on a FIFO or a device at its path.
 
-It runs in the worker and in ``arrowseam servers check``, not in the proxy's event loop: a disk may be slow.
+Used by the worker and ``arrowseam servers check``, not in the proxy's event loop: disk reads may block.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from arrowseam.endpoint_sources.validation import ListRejectedError
 
-# Device, inode, size, times of content and of the inode: equal ones mean that nobody has written since.
+# Device, inode, size, mtime and ctime: if all are equal, the file has not been written in between.
 Signature: TypeAlias = tuple[int, int, int, int, int]
 READ_ATTEMPTS = 3
-RETRY_DELAY_SECONDS = 0.005  # for a file that is written while it is read
+RETRY_DELAY_SECONDS = 0.005  # before another read of a file that changed while it was read
 CHUNK_BYTES = 1 << 20
 
 
 def signature(path: str) -> Signature | None:
-    """What tells one version of a file from the next; None if there is none."""
+    """Return the signature of a file's current version, or None if its status cannot be read."""
     try:
         return _signature(os.stat(path))
     except OSError:
@@ -32,11 +32,11 @@
 
 
 def read(path: str, max_bytes: int) -> tuple[bytes, Signature]:
-    """The content of a file, and its signature.
+    """Return the content of a file and its signature.
 
     Raises:
-        ListRejectedError: it is absent or not a regular file, cannot be read, is too large, may be written
-            by anybody, or changes while it is read.
+        ListRejectedError: it is absent or not a regular file, cannot be read, is too large, is
+            world-writable, or changes during every read attempt.
     """
     for _ in range(READ_ATTEMPTS):
         descriptor = _open(path)
@@ -50,15 +50,15 @@
         finally:
             os.close(descriptor)
         if len(content) > max_bytes:
-            raise ListRejectedError("too-large", f"over {max_bytes} bytes")
+            raise ListRejectedError("too-large", f"larger than {max_bytes} bytes")
         if _signature(before) == _signature(after) and len(content) == after.st_size:
             return content, _signature(after)
         time.sleep(RETRY_DELAY_SECONDS)
-    raise ListRejectedError("torn", "it is written while it is read")
+    raise ListRejectedError("torn", "the file was written while it was read")
 
 
 def _open(path: str) -> int:
-    """Opening a device may have an effect and opening a FIFO waits, so the kind of file is checked first."""
+    """Opens a regular file; the type is checked first, since opening a device or a FIFO may act or block."""
     try:
         is_regular = stat.S_ISREG(os.stat(path).st_mode)
         flags = os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC | os.O_NOCTTY
@@ -72,16 +72,16 @@
 
 
 def _check_status(status: os.stat_result, max_bytes: int) -> None:
-    if not stat.S_ISREG(status.st_mode):  # another file has come to its place since
+    if not stat.S_ISREG(status.st_mode):  # replaced since its type was checked
         raise ListRejectedError("not-a-file", "not a regular file")
     if status.st_mode & stat.S_IWOTH:
-        raise ListRejectedError("writable-by-all", f"mode {status.st_mode & 0o777:o}: anybody may write it")
+        raise ListRejectedError("writable-by-all", f"mode {status.st_mode & 0o777:o}: writable by all users")
     if status.st_size > max_bytes:
-        raise ListRejectedError("too-large", f"{status.st_size} bytes, over {max_bytes}")
+        raise ListRejectedError("too-large", f"{status.st_size} bytes, at most {max_bytes} are allowed")
 
 
 def _read_all(descriptor: int, max_bytes: int) -> bytes:
-    """The content, at most one byte more than ``max_bytes``: a file may be longer than its status says."""
+    """Read at most one byte more than ``max_bytes``: a file may be longer than its status says."""
     parts, size = [], 0
     while size <= max_bytes and (part := os.read(descriptor, min(CHUNK_BYTES, max_bytes + 1 - size))):
         parts.append(part)
--- a/arrowseam/endpoint_sources/file_sources.py
+++ b/arrowseam/endpoint_sources/file_sources.py
@@ -1,6 +1,6 @@
-"""Reading the files of endpoints: when a file is read, and the worker process that reads it.
+"""Schedules the reading of endpoint files, which a worker process does.
 
-The worker keeps the last valid list of each file and answers with what a new version changes.
+The worker keeps the last valid list of each file and answers with the differences of a new version.
 """
 
 from __future__ import annotations
@@ -24,31 +24,31 @@
 from arrowseam.workers.process import WorkerEndedError, WorkerProcess
 
 WORKER_MODULE = "arrowseam.endpoint_sources.worker"
-WORKER_REJECTION = "worker"  # the reason where the worker itself failed
-WRITER_QUIET_TIME = 250 * MS  # after the last write of a file that is held open, it is taken for complete
+WORKER_REJECTION = "worker"  # reason of a rejection where the worker itself failed
+WRITER_QUIET_TIME = 250 * MS  # a file that its writer holds open is read this long after a write
 SAFETY_READ_INTERVAL = 5 * SECOND  # for changes that inotify did not report
 TORN_RETRY_DELAY = 20 * MS
 SEND_TIMEOUT = SECOND
-ANSWER_TIMEOUT = 5 * SECOND  # for each line of an answer; a worker that takes longer is killed
+ANSWER_TIMEOUT = 5 * SECOND  # for each line of an answer; a slower worker is killed
 WORKER_RESTART_DELAY = 300 * MS
-# A script may rewrite a file a hundred times a second. After a list has been read, the event loop is left
-# to clients for so many times the time that it took, so that files take a tenth of the processor at most.
+# A script may rewrite a file a hundred times a second. After each list, reading pauses for this multiple of
+# the event loop's time that the list took, so that files use at most a tenth of the processor.
 PAUSE_PER_BUSY_TIME = 9
 PAUSE_MAX = SECOND // 2
 PAUSE_MIN = 20 * MS
-LOG_INTERVAL = SECOND  # of the same rejection of the same file
-ALLOWANCE_TIME = 600 * SECOND  # for which an allowed removal waits for its file
+LOG_INTERVAL = SECOND  # between log lines of the same rejection of the same source
+ALLOWANCE_TIME = 600 * SECOND  # after which an unused allowance of a large removal expires
 
 
 class FileSources:
-    """Has files read when they may have changed, and reports to the merged list.
+    """Has files read when they may have changed, and reports their lists to the merged list.
 
     Attributes:
-        settings: of each source, by name.
-        answered: sources whose file has been read once, valid or not.
-        busy_time: microseconds of the event loop that the list read last has taken so far.
-        worker: the process that reads; None = it has to be started.
-        watcher: None = there is no inotify, and files are polled.
+        settings: settings of each source, by name.
+        first_read_done: sources whose file has been read at least once, valid or not.
+        busy_time: event loop time that the list read last has used so far, in microseconds.
+        worker: the process that reads files; None = not started.
+        watcher: None = inotify is not available, and files are polled.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
         proxy_name: str,
         on_reported: Callable[[set[str]], None],
     ) -> None:
-        """``on_reported`` is called after a valid list, with the names of the sources there were before."""
+        """``on_reported`` is called after a valid list, with the names of the sources before it."""
         self.loop, self.merged, self.proxy_name, self.on_reported = loop, merged, proxy_name, on_reported
         self.settings: dict[str, Servers] = {}
-        self.answered: set[str] = set()
+        self.first_read_done: set[str] = set()
         self.busy_time = 0
         self.worker: WorkerProcess | None = None
         self.watcher: FileWatcher | None = None
         self._state_dir = ""
         self._next_read_at: dict[str, int] = {}
-        self._forced: set[str] = set()  # to be read even if their signature is the same
+        self._forced: set[str] = set()  # sources to be read even if the file's signature is unchanged
         self._allowed_until: dict[str, int] = {}
         self._known_to_worker: set[str] = set()
         self._paused_until = 0
@@ -75,13 +75,13 @@
         try:
             self.watcher = FileWatcher(loop, self._on_file_event)
         except OSError as error:
-            log("watch.polls", f"watch: no inotify ({error}); files are polled", "warning")
+            log("watch.polls", f"watch: inotify is not available ({error}); files are polled", "warning")
         self.reader = loop.start_task(self._read_files(), "files")
 
     # --- configuration ---
 
     def configure(self, settings: dict[str, Servers], state_dir: str) -> None:
-        """The files there are from now on; ``state_dir`` is for snapshots, empty = none are kept."""
+        """Set the sources; ``state_dir`` is the folder for snapshots, empty = no snapshots."""
         for name, old in self.settings.items():
             if settings.get(name) != old or self._state_dir != state_dir:
                 self._known_to_worker.discard(name)
@@ -93,13 +93,13 @@
         self._next_read_at = {name: at for name, at in self._next_read_at.items() if name in settings}
 
     def watch(self) -> None:
-        """Watch the configured files and no others."""
+        """Watch exactly the configured files."""
         if self.watcher is not None:
             self.watcher.watch(sorted({servers.file for servers in self.settings.values()}))
         self.loop.wake(self.reader)
 
     def allow_large_removal(self, name: str) -> bool:
-        """Let one large removal through; False if there is no such source."""
+        """Accept one large removal of a source; False if there is no such source."""
         if name not in self.settings:
             return False
         self._allowed_until[name] = clock() + ALLOWANCE_TIME
@@ -107,13 +107,13 @@
         return True
 
     def is_removal_allowed(self, name: str) -> bool:
-        """Whether the next version of the file may remove more than ``max_removed``."""
+        """Whether the next version of the file may exceed ``max_removed``."""
         return self._allowed_until.get(name, 0) > clock()
 
     def close(self) -> None:
         """Stop reading and watching."""
         if self.worker is not None:
-            self.worker.disconnect()  # it may still have a snapshot to write
+            self.worker.disconnect()  # not killed: it may still have a snapshot to write
             self.worker = None
         if self.watcher is not None:
             self.watcher.close()
@@ -128,7 +128,7 @@
                 self._schedule_read(name, clock() + delay, not_sooner=not is_complete)
 
     def _schedule_read(self, name: str, at: int, not_sooner: bool = False) -> None:
-        """Read a source's file then; ``not_sooner``: also if a read was scheduled before that."""
+        """Schedule a read of a source's file; ``not_sooner``: postpone an earlier scheduled read."""
         self._forced.add(name)
         if not_sooner or name not in self._next_read_at or at < self._next_read_at[name]:
             self._next_read_at[name] = at
@@ -140,7 +140,7 @@
         return servers.poll_ms * MS if is_polled else SAFETY_READ_INTERVAL
 
     def _read_files(self) -> Coroutine[None]:
-        """Read the files that are due, one at a time: one whose read hangs delays the others."""
+        """Read the files that are due, one at a time; a read that hangs delays the others."""
         while True:
             if self.worker is not None and self.worker.has_ended:
                 self.worker.kill()
@@ -159,24 +159,24 @@
             except (WorkerEndedError, OSError) as error:
                 self._on_read_failed(name, str(error))
                 continue
-            while self.merged.has_changes:  # what was read is published before the next file is read
+            while self.merged.has_changes:  # publish these changes before the next read
                 yield clock() + PAUSE_MIN
             pause = min(PAUSE_MAX, PAUSE_MIN + PAUSE_PER_BUSY_TIME * self.busy_time)
             self._paused_until = clock() + pause
 
     def _on_read_failed(self, name: str, why: str) -> None:
         if name in self.merged.sources:
-            text = f"the child that reads it {why}"
+            text = f"the file worker {why}"
             self.merged.report_rejection(name, WORKER_REJECTION, text, clock())
-            self.answered.add(name)
+            self.first_read_done.add(name)
         self._on_worker_lost(why)
 
     def _on_worker_lost(self, why: str) -> None:
-        """Forget the worker; the next read starts one, which is given the lists in force.
+        """Discard the worker; the next read starts another one and sends it the lists in force.
 
-        It must know them, since it answers with differences to them only.
+        It needs them, since its answers hold only the differences from them.
         """
-        log("worker.ended", f"sources: the worker that reads files {why}; it is started again", "error")
+        log("worker.ended", f"sources: the file worker {why}; restarting it", "error")
         self.worker = None
         self._known_to_worker.clear()
         self._paused_until = clock() + WORKER_RESTART_DELAY
@@ -186,7 +186,7 @@
     # --- the worker ---
 
     def _read_file(self, name: str, is_forced: bool) -> Coroutine[None]:
-        """Have the worker read a file; raises WorkerEndedError or OSError."""
+        """Have the worker read a source's file; raises WorkerEndedError or OSError."""
         if self.worker is None:
             self.worker = WorkerProcess(self.loop, WORKER_MODULE)
         worker = self.worker
@@ -194,16 +194,16 @@
             self._known_to_worker.discard(dropped)
             yield from self._send(worker, do="drop", source=dropped)
         if name not in self._known_to_worker:
-            yield from self._introduce(worker, name)
+            yield from self._register(worker, name)
             self._known_to_worker.add(name)
         if name not in self.settings:
-            return  # new settings have come meanwhile
+            return  # the source was removed by a reload in the meantime
         allow = self.is_removal_allowed(name)
         yield from self._send(worker, do="read", source=name, always=is_forced, allow=allow)
         yield from self._receive_answer(worker, name, Origin.FILE)
 
-    def _introduce(self, worker: WorkerProcess, name: str) -> Coroutine[None]:
-        """Tell the worker of a source and the list in force, or have it load the snapshot."""
+    def _register(self, worker: WorkerProcess, name: str) -> Coroutine[None]:
+        """Send a source and its list in force to the worker, or have it load the snapshot."""
         servers, source = self.settings[name], self.merged.sources[name]
         path = str(snapshot_path(self._state_dir, self.proxy_name, name)) if self._state_dir else ""
         yield from self._send(worker, do="drop", source=name)
@@ -231,13 +231,13 @@
         yield from worker.send_line(msgspec.json.encode(fields) + b"\n", clock() + SEND_TIMEOUT)
 
     def _receive(self, worker: WorkerProcess) -> Coroutine[dict[str, Any]]:
-        """The next line that is no event."""
+        """Return the next line that is not an event; events are logged."""
         while True:
             line = yield from worker.receive_line(clock() + ANSWER_TIMEOUT)
             answer: dict[str, Any] = msgspec.json.decode(line)
             if "event" not in answer:
                 return answer
-            log(answer["event"], f"sources: no snapshot: {answer['text']}", "error")
+            log(answer["event"], f"sources: snapshot not saved: {answer['text']}", "error")
 
     def _receive_answer(self, worker: WorkerProcess, name: str, origin: Origin) -> Coroutine[None]:
         summary = yield from self._receive(worker)
@@ -255,9 +255,9 @@
                 yield from self.loop.yield_turn()
             self._on_valid(name, origin, summary, changed, removed)
         if origin is Origin.FILE:
-            self.answered.add(name)
+            self.first_read_done.add(name)
 
-    # --- what it answers ---
+    # --- answers of the worker ---
 
     def _on_rejected(self, name: str, origin: Origin, reason: str, text: str) -> None:
         if origin is Origin.SNAPSHOT:
@@ -277,9 +277,9 @@
 
     def _log_rejection(self, name: str, reason: str, text: str) -> None:
         source = self.merged.sources[name]
-        in_force = f"{len(source.records)} servers from {age_text(source.taken_at_ms)} ago stay"
+        in_force = f"{len(source.records)} servers from {age_text(source.taken_at_ms)} ago stay in force"
         if source.reported_at is None:
-            in_force = "no earlier list is known"
+            in_force = "there is no earlier list"
         file = self.settings[name].file if name in self.settings else ""
         log(
             "source.refused",
@@ -323,6 +323,6 @@
         return
     counts += f": {summary['added']} added, {summary['removed']} removed, {summary['changed']} changed"
     if summary["allowed"]:
-        counts += "; a large removal was allowed by hand"
+        counts += "; a large removal was allowed by the operator"
     fields = {key: summary[key] for key in ("generation", "servers", "added", "removed", "changed")}
     log("source.taken", f"sources: {name}: {counts}", source=name, **fields)
--- a/arrowseam/endpoint_sources/file_watcher.py
+++ b/arrowseam/endpoint_sources/file_watcher.py
@@ -1,9 +1,9 @@
-"""Notices that a file may have been written: inotify on every folder on the way to it.
+"""Detects that a file may have changed, with inotify watches on every folder along its path.
 
-All folders along the path are watched, and those along every link in it, each for the one name that the
-path goes through: a file replaced by rename, a link swapped, a folder renamed, deleted or made again all
-show as an event of some name on the way. An event only says that the file has to be read again; if the
-queue of events overflows, all files are.
+The folders along the path and along every symbolic link in it are watched, each for the one name that the
+path uses: a file replaced by rename, a changed link, a folder renamed, deleted or created again all cause an
+event for one of these names. An event only means that the file has to be read again; if the queue of events
+overflows, all files are.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from arrowseam.net.event_loop import EventLoop
 from arrowseam.net.task import Coroutine
 
-LINKS_MAX = 40  # in one path
-EVENT_BYTES_PER_ROUND = 16384  # read in one round of the event loop
-RESOLVE_ATTEMPTS_MAX = 4  # until the folders stay the same
+LINKS_MAX = 40  # symbolic links in one path
+EVENT_BYTES_PER_ROUND = 16384  # bytes of events read in one round of the event loop
+RESOLVE_ATTEMPTS_MAX = 4  # resolutions of all paths, until the folders stay the same
 PLACEMENT_EVENTS = flags.CREATE | flags.DELETE | flags.MOVED_FROM | flags.MOVED_TO | flags.ATTRIB
 FOLDER_EVENTS = flags.IGNORED | flags.DELETE_SELF | flags.MOVE_SELF | flags.UNMOUNT
 WATCHED_EVENTS = (
@@ -30,14 +30,14 @@
 
 
 class PathStep(NamedTuple):
-    """A name on the way to a file, and the folder that holds it."""
+    """One name along the path of a file, and the folder that holds it."""
 
     folder: str
     name: str
 
 
 def path_steps(path: str) -> list[PathStep]:
-    """All names that are looked up to reach ``path``, links followed; as far as it exists."""
+    """Return all names that are looked up to reach ``path``, links followed, as far as it exists."""
     steps: list[PathStep] = []
     names = [name for name in os.path.abspath(path).split("/") if name]
     names.reverse()
@@ -51,7 +51,7 @@
         here = os.path.join(folder, name)
         try:
             target = os.readlink(here)
-        except OSError:  # not a link, or not there
+        except OSError:  # not a link, or absent
             folder = here
             continue
         links += 1
@@ -64,17 +64,17 @@
 
 
 class FileWatcher:
-    """Watches files.
+    """Watches files for changes.
 
-    ``on_event(file, is_complete)`` is called when a file may have changed; not ``is_complete``: its writer
-    may go on.
+    ``on_event(file, is_complete)`` is called when a file may have changed; ``is_complete`` is false while its
+    writer may continue.
 
     Attributes:
-        unwatched_files: those of which some folder cannot be watched; they have to be polled.
+        unwatched_files: files that must be polled, since a folder of their path cannot be watched.
     """
 
     def __init__(self, loop: EventLoop, on_event: Callable[[str, bool], None]) -> None:
-        """Raises OSError where the system has no inotify to give."""
+        """Raises OSError if no inotify instance can be created."""
         self.loop, self.on_event = loop, on_event
         self.inotify = INotify(nonblocking=True)
         self.unwatched_files: set[str] = set()
@@ -85,14 +85,14 @@
         loop.watch_readable(self.inotify.fd, task)
 
     def close(self) -> None:
-        """Watch nothing any more."""
+        """Stop watching all files."""
         self.loop.unwatch(self.inotify.fd)
         self.inotify.close()
 
     def watch(self, files: Iterable[str]) -> None:
-        """Watch these files and no others."""
+        """Watch exactly these files."""
         self._files = tuple(files)
-        # What changes while the folders are looked up shows when they are looked up again.
+        # Folders that change before their watch is set are found when the paths are resolved again.
         for _ in range(RESOLVE_ATTEMPTS_MAX):
             previous = self._folders
             self._watch_folders()
@@ -109,7 +109,7 @@
                     continue
                 names.setdefault(folders[step.folder], {}).setdefault(step.name, set()).add(file)
         for watch in self._names.keys() - names.keys():
-            with contextlib.suppress(OSError):  # the folder has gone, and the watch with it
+            with contextlib.suppress(OSError):  # the folder is gone, and its watch with it
                 self.inotify.rm_watch(watch)
         self._names, self._folders = names, folders
 
@@ -117,7 +117,7 @@
         try:
             folders[folder] = self.inotify.add_watch(folder, WATCHED_EVENTS)
         except (FileNotFoundError, NotADirectoryError):
-            return False  # its name in the folder above is watched
+            return False  # its creation is an event of the folder above, which is watched
         except OSError:
             self.unwatched_files.add(file)  # too many watches, or no permission
             return False
@@ -141,7 +141,7 @@
         is_path_changed = False
         for event in parse_events(data):
             if event.mask & flags.Q_OVERFLOW:
-                log("watch.overflow", "watch: events were lost; all files are read again", "warning")
+                log("watch.overflow", "watch: inotify queue overflow; all files are read again", "warning")
                 is_path_changed, complete = True, set(self._files)
                 continue
             files = self._names.get(event.wd, {})
--- a/arrowseam/endpoint_sources/merge.py
+++ b/arrowseam/endpoint_sources/merge.py
@@ -1,17 +1,17 @@
-"""Merges several sources of endpoints into one list: which source wins, and how a removed endpoint leaves.
-
-The rules do no I/O and read no clock: every time, in microseconds, is handed in. What a source reports is
-in force completely and at once; the changes that follow from it are taken in parts (``take_changes``), those
-of endpoints that leave first.
-
-* A source of higher rank gives an endpoint's address, zone, type and weight; of equal rank, the one
-  configured first.
-* An endpoint that any source calls draining drains.
-* An endpoint stays as long as a source names it. One that no file names any more is kept for ``settle``,
-  since it may be on its way from one file to another; then it drains for ``drain`` and until it has no
-  connections, then it is removed. What the discovery service removes, and nobody else names, is removed at
-  once.
-* One address under two names counts once: for the higher rank, else for the one that had it.
+"""Merges several sources of endpoints into one list: which source wins, and how an endpoint is removed.
+
+The rules do no I/O and read no clock: every time is an argument, in microseconds. A source's report takes
+effect completely and at once; the changes that result are taken in batches (``take_changes``), those of
+departing endpoints first.
+
+* An endpoint's address, zone, type and weight come from the source of the highest rank; of equal ranks, from
+  the one configured first.
+* An endpoint drains if any source lists it as draining.
+* An endpoint stays as long as any source names it. One that no file names any more is kept for ``settle``,
+  since it may be moving from one file to another; then it drains for ``drain`` and until it has no
+  connections, then it is removed. An endpoint that only the discovery service named is removed as soon as
+  the service drops it.
+* One address under two names counts once: for the source of higher rank, else for the name that had it.
 * A source that is no longer configured stays until all new ones have reported a valid list.
 """
 
@@ -27,12 +27,12 @@
 from arrowseam.endpoint_sources.records import DRAINING, READY, REMOVED, EndpointRecord
 
 DISCOVERY_SOURCE, INITIAL_SOURCE = "directory", "known"
-CONNECTIONS_CHECK_INTERVAL = 250_000  # of a drained endpoint that still has connections
+CONNECTIONS_CHECK_INTERVAL = 250_000  # between checks of a drained endpoint that still has connections
 UNLIMITED = 1 << 60
 
 
 class Origin(StrEnum):
-    """Where a source's list comes from; the values are shown by control."""
+    """Where a source's list came from; control shows the values."""
 
     NONE = ""
     FILE = "file"
@@ -43,7 +43,7 @@
 
 
 class SourceSettings(NamedTuple):
-    """How a source is configured; times in microseconds."""
+    """The configuration of a source; times in microseconds."""
 
     name: str
     rank: int = 0
@@ -53,16 +53,16 @@
 
 @dataclass(slots=True)
 class Source:
-    """What a source last reported, and when.
+    """A source: its last valid list, and its last rejection.
 
     Attributes:
         order: position among the configured sources.
         reported_at: time of the last valid list; None = none yet.
-        taken_at_ms: the same in Unix milliseconds, kept over processes.
-        rejected_at, rejection: of the last rejected list, if it came after the last valid one; reason and
-            text.
-        taken_count: valid lists, without snapshots and hand-overs.
-        rejections: rejected lists by reason.
+        taken_at_ms: the same in Unix milliseconds, which stay valid across processes.
+        rejected_at, rejection: time, and reason and text, of the last rejected list if it came after the last
+            valid one.
+        taken_count: number of valid lists, without snapshots and handovers.
+        rejections: number of rejected lists by reason.
     """
 
     settings: SourceSettings
@@ -79,13 +79,13 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Sorts by rank, then by the order of configuration."""
+        """The sort key: rank, then order of configuration."""
         return self.settings.rank, -self.order
 
 
 @dataclass(slots=True)
 class Departure:
-    """An endpoint that no source names any more; ``removed_at`` is 0 until it drains."""
+    """The removal of an endpoint that no source names any more; ``removed_at`` is 0 until it drains."""
 
     settled_at: int
     drain: int
@@ -93,7 +93,7 @@
 
 
 class Winner(NamedTuple):
-    """The source that gives an endpoint's fields, those fields, and whether any source has it drain."""
+    """The source that provides an endpoint's fields, the fields, and whether any source drains it."""
 
     source: Source
     record: EndpointRecord
@@ -109,20 +109,20 @@
     since: int
 
 
-def _has_no_connections(_name: str) -> bool:
+def _never_has_connections(_name: str) -> bool:
     return False
 
 
 class MergedEndpointList:
-    """The one list, and what of it has been published.
+    """The merged list, and which part of it has been published.
 
     Attributes:
-        sources: by name.
-        published: endpoints as the balancer was last notified of them.
-        published_since: when the state of each was last published anew.
+        sources: sources by name.
+        published: endpoints as last published to the balancer.
+        published_since: when the state of each endpoint last changed.
         departures: endpoints that no source names any more.
-        retiring: sources that are no longer configured.
-        has_connections: whether an endpoint has established connections.
+        retiring: sources that are no longer configured, but stay until the new ones have reported.
+        has_connections: tells whether an endpoint has established connections.
     """
 
     def __init__(self) -> None:
@@ -131,24 +131,24 @@
         self.published_since: dict[str, int] = {}
         self.departures: dict[str, Departure] = {}
         self.retiring: set[str] = set()
-        self.has_connections: Callable[[str], bool] = _has_no_connections
+        self.has_connections: Callable[[str], bool] = _never_has_connections
         self._ranked: list[Source] = []  # highest first
-        self._awaited: set[str] = set()  # configured, and no valid list yet
+        self._awaited: set[str] = set()  # configured sources without a valid list yet
         self._winners: dict[str, Winner] = {}
         self._claims: dict[str, dict[str, None]] = {}  # address -> endpoints that have it
-        # Endpoints to be evaluated: those that may leave, then the others. Dictionaries keep their order.
+        # Endpoints to evaluate: those that may leave, then the others. Dictionaries serve as ordered sets.
         self._urgent: dict[str, None] = {}
         self._pending: dict[str, None] = {}
-        self._timers: list[tuple[int, str]] = []
-        self._to_republish: set[str] = set()  # though nothing has changed
+        self._timers: list[tuple[int, str]] = []  # heap of due times and endpoints
+        self._to_republish: set[str] = set()  # published again even if unchanged
 
     # --- the sources ---
 
     def configure(self, all_settings: Iterable[SourceSettings]) -> list[str]:
-        """The sources there are from now on; returns the names of new ones."""
-        wanted = {settings.name: settings for settings in all_settings}
-        new = [name for name in wanted if name not in self.sources]
-        for order, (name, settings) in enumerate(wanted.items()):
+        """Set the sources; returns the names of new ones."""
+        configured = {settings.name: settings for settings in all_settings}
+        new = [name for name in configured if name not in self.sources]
+        for order, (name, settings) in enumerate(configured.items()):
             source = self.sources.get(name)
             if source is None:
                 self.sources[name] = source = Source(settings)
@@ -158,8 +158,8 @@
             source.settings, source.order = settings, order
             self.retiring.discard(name)
         for name, source in self.sources.items():
-            if name not in wanted:
-                source.order = len(wanted)
+            if name not in configured:
+                source.order = len(configured)
                 self.retiring.add(name)
         self._sort_by_rank()
         self._retire()
@@ -177,7 +177,7 @@
             self._sort_by_rank()
 
     def is_retired(self, name: str) -> bool:
-        """Whether there is no such source any more."""
+        """Whether the source is neither configured nor retiring."""
         return name not in self.sources
 
     def report_change(
@@ -190,7 +190,7 @@
         taken_at_ms: int = 0,
         origin: Origin = Origin.FILE,
     ) -> None:
-        """A source has reported something valid: what differs from its last report."""
+        """Apply a source's valid report, given as the differences from its last list."""
         source = self.sources[name]
         for removed_name in removed:
             if source.records.pop(removed_name, None) is not None:
@@ -217,7 +217,7 @@
         taken_at_ms: int = 0,
         origin: Origin = Origin.FILE,
     ) -> None:
-        """A source has reported its complete list."""
+        """Apply a source's valid report, given as a complete list."""
         current = self.sources[name].records
         new = {record.name: record for record in records}
         changed = {key: record for key, record in new.items() if current.get(key) != record}
@@ -225,25 +225,25 @@
         self.report_change(name, changed, removed, now, generation, taken_at_ms, origin)
 
     def report_rejection(self, name: str, reason: str, text: str, now: int) -> None:
-        """A source has reported something that is rejected: its last list stays."""
+        """Record that a source's report was rejected; its last list stays in force."""
         source = self.sources[name]
         source.rejected_at, source.rejection = now, (reason, text)
         source.rejections[reason] += 1
 
     def republish_all(self) -> None:
-        """Positions of zones or machine types have changed: everything is published again."""
+        """Publish all endpoints again: positions of zones or machine types have changed."""
         self._pending.update(dict.fromkeys(self.published))
         self._to_republish.update(self.published)
 
-    # --- the one list ---
+    # --- the merged list ---
 
-    def take_changes(self, now: int, most: int = UNLIMITED) -> list[EndpointRecord]:
-        """What has to be published now, those that leave first; at most so many endpoints are evaluated."""
+    def take_changes(self, now: int, limit: int = UNLIMITED) -> list[EndpointRecord]:
+        """Evaluate at limit ``limit`` endpoints, departing ones first; returns the records to publish now."""
         while self._timers and self._timers[0][0] <= now:
             self._urgent[heapq.heappop(self._timers)[1]] = None
         changes = []
-        while most > 0 and (queue := self._urgent or self._pending):
-            most -= 1
+        while limit > 0 and (queue := self._urgent or self._pending):
+            limit -= 1
             record = self._evaluate(queue.popitem()[0], now)
             if record is not None:
                 changes.append(record)
@@ -251,33 +251,33 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether more endpoints are to be evaluated now."""
+        """Whether endpoints are waiting to be evaluated."""
         return bool(self._urgent or self._pending)
 
     def next_change_at(self) -> int | None:
-        """When there will be something to publish even if no source reports anything."""
+        """When an endpoint is due even if no source reports anything; None = no such time."""
         return self._timers[0][0] if self._timers else None
 
     def _evaluate(self, name: str, now: int) -> EndpointRecord | None:
-        """What is to be published of one endpoint; None = nothing."""
-        wanted = self._merged(name)
+        """Return the record to publish of one endpoint; None = nothing to publish."""
+        merged = self._merge(name)
         published = self.published.get(name)
-        if wanted is not None:
+        if merged is not None:
             self.departures.pop(name, None)
-            if wanted == published and name not in self._to_republish:
+            if merged == published and name not in self._to_republish:
                 return None
             self._to_republish.discard(name)
-            if published is None or published.state != wanted.state:
+            if published is None or published.state != merged.state:
                 self.published_since[name] = now
-            self.published[name] = wanted
-            return wanted
+            self.published[name] = merged
+            return merged
         if published is None:
             self._forget(name)
             return None
         return self._depart(name, published, now)
 
-    def _merged(self, name: str) -> EndpointRecord | None:
-        """The endpoint as the sources have it; None if none names it, or its address counts as another's."""
+    def _merge(self, name: str) -> EndpointRecord | None:
+        """Merge an endpoint's records; None if no source names it, or another endpoint owns its address."""
         previous = self._winners.get(name)
         winner = self._find_winner(name)
         if previous is not None and (winner is None or previous.record.address != winner.record.address):
@@ -303,7 +303,7 @@
         return Winner(source, source.records[name], is_draining) if source is not None else None
 
     def _release_address(self, name: str, address: str) -> None:
-        """Others that claim the address may have it now."""
+        """Remove a claim on an address, and evaluate the other claimants: one of them may own it now."""
         claims = self._claims.get(address)
         if claims is not None:
             claims.pop(name, None)
@@ -312,7 +312,7 @@
                 del self._claims[address]
 
     def _owns_address(self, name: str, source: Source, address: str) -> bool:
-        """Whether the endpoint is the one that counts of those that claim an address.
+        """Whether the endpoint is the one that may use an address, of those that claim it.
 
         Otherwise one machine under two names would get two shares of the load.
         """
@@ -323,20 +323,20 @@
         def priority(claimant: str) -> tuple[tuple[int, int], bool, str]:
             claiming_source = source if claimant == name else self._winners[claimant].source
             published = self.published.get(claimant)
-            had_it = published is not None and published.address == address
-            return claiming_source.rank, had_it, claimant
+            had_address = published is not None and published.address == address
+            return claiming_source.rank, had_address, claimant
 
         owner = max(claims, key=priority)
         if owner == name:
             for claimant in claims:
                 if claimant != name and claimant in self.published and claimant not in self.departures:
-                    self._urgent[claimant] = None  # it leaves
+                    self._urgent[claimant] = None  # it has lost the address and leaves
         elif owner not in self.published or owner in self.departures:
-            self._pending[owner] = None  # it has become the owner by what has changed here
+            self._pending[owner] = None  # it has just become the owner
         return owner == name
 
     def _depart(self, name: str, published: EndpointRecord, now: int) -> EndpointRecord | None:
-        """The next step of an endpoint that is to leave: settle, drain, be removed."""
+        """Take the next step of an endpoint that leaves: settle, drain, remove."""
         departure = self.departures.get(name)
         if departure is None:
             winner = self._winners.get(name)
@@ -349,7 +349,7 @@
         if now < departure.removed_at:
             return None
         if self.has_connections(name):
-            # Its connections are being migrated: once it is removed nobody would go on with that.
+            # Its connections are still being migrated, which would stop if it were removed.
             departure.removed_at = now + CONNECTIONS_CHECK_INTERVAL
             heapq.heappush(self._timers, (departure.removed_at, name))
             return None
@@ -370,7 +370,7 @@
         return self.published[name]
 
     def _forget(self, name: str) -> None:
-        """Unless it is still named, and only its address counts as another's."""
+        """Forget its winner, unless a source still names it and it has only lost its address."""
         if not self.sources_of(name):
             self._winners.pop(name, None)
 
@@ -381,14 +381,14 @@
         del self.published[name]
         return published._replace(state=REMOVED)
 
-    # --- for control, and for the next process ---
+    # --- control and hot restart ---
 
     def sources_of(self, endpoint: str) -> tuple[str, ...]:
-        """The sources that name an endpoint, the one that wins first."""
+        """Return the sources that name an endpoint, the winning one first."""
         return tuple(source.settings.name for source in self._ranked if endpoint in source.records)
 
     def show(self, endpoint: str) -> ShownEndpoint:
-        """A published endpoint."""
+        """Return a published endpoint as control shows it."""
         record = self.published[endpoint]
         departure = self.departures.get(endpoint)
         state = "ready" if record.state == READY else "draining"
@@ -397,7 +397,7 @@
         return ShownEndpoint(record, state, self.sources_of(endpoint), self.published_since[endpoint])
 
     def export_state(self, now: int) -> dict[str, Any]:
-        """What another process of this proxy takes over, in the form of the hot restart; times as spans."""
+        """Return the state that the next process takes over at a hot restart; times are relative to now."""
         return {
             "sources": {
                 name: {
@@ -416,7 +416,7 @@
         }
 
     def import_state(self, state: dict[str, Any], now: int) -> None:
-        """Go on from what another process of this proxy had; raises KeyError, TypeError or ValueError."""
+        """Take over the state of the previous process; raises KeyError, TypeError or ValueError."""
         for name, exported in state["sources"].items():
             if name in self.sources and self.sources[name].reported_at is None:
                 records = [EndpointRecord(*row) for row in exported["members"]]
--- a/arrowseam/endpoint_sources/records.py
+++ b/arrowseam/endpoint_sources/records.py
@@ -1,7 +1,7 @@
-"""Endpoints as a source names them, in the form of the discovery service, and as the driver takes them.
+"""Endpoint records of the sources, decoded from the discovery service's format and converted for the driver.
 
-The names of that form (``instanceId``, ``lifecycle`` and so on) are mapped to the names in the code here.
-Lists of the discovery service are decoded leniently; files are read more strictly, in ``validation.py``.
+The keys of that format (``instanceId``, ``lifecycle`` and so on) are mapped to the names in the code here.
+Lists of the discovery service are decoded leniently; ``validation.py`` reads files more strictly.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from arrowseam.config.proxy import Config, ConfigError
 from arrowseam.endpoint_list import EndpointIds, EndpointListUpdate
 
-# The state of an endpoint, in the words of the discovery service; snapshots hold them too.
+# The states of an endpoint as the discovery service and snapshots spell them.
 READY, DRAINING, REMOVED = "Ready", "Terminating", "Gone"
 STATES = {
     READY: EndpointState.READY,
@@ -24,15 +24,16 @@
 }
 
 MICROSECONDS_PER_MILLISECOND = 1000
-# From Unix time to the monotonic clock, in microseconds. It is taken once, so that a start keeps its time.
+# Unix time less the monotonic clock, in microseconds. Measured once, so that the same start time always
+# converts to the same value.
 UNIX_OFFSET = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
 
 class EndpointRecord(NamedTuple):
-    """One endpoint as a source names it.
+    """One endpoint as a source reports it.
 
-    Snapshots, the worker and a hot restart carry the fields by position. Zone and machine type are names,
-    since new settings may give them other positions.
+    Snapshots, the worker and a hot restart transfer the fields by position. Zone and machine type are names,
+    since their positions may change with new settings.
 
     Attributes:
         address: HOST:PORT; empty = unknown.
@@ -50,7 +51,7 @@
     started_at_ms: float = 0.0
 
     def to_row(self) -> dict[str, Any]:
-        """The same in the form of the discovery service."""
+        """Return the record in the discovery service's format."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -64,7 +65,7 @@
 
 
 def read_record(row: Any) -> EndpointRecord:
-    """One row of the discovery service's; raises DecodeError."""
+    """Decode one row of the discovery service's list; raises DecodeError."""
     if not isinstance(row, dict) or not isinstance(row.get("instanceId"), str):
         raise DecodeError("list: each instance must be an object with an instanceId")
     state = str(row.get("lifecycle"))
@@ -84,10 +85,10 @@
 
 
 def read_records(document: Any) -> tuple[bool, int, list[EndpointRecord]]:
-    """Whether a list is complete, its version, and its endpoints.
+    """Decode a list; returns whether it is complete, its version, and its endpoints.
 
     Raises:
-        ConfigError: it is not in the form of the discovery service.
+        ConfigError: it is not in the discovery service's format.
     """
     try:
         rows = _rows(document)
@@ -100,13 +101,13 @@
 def _rows(document: Any) -> list[Any]:
     if not isinstance(document, dict):
         raise DecodeError("list: not a JSON object")
-    if document.get("instances") is None:  # taken for an empty list it would remove all endpoints
+    if document.get("instances") is None:  # as an empty list it would remove all endpoints
         raise DecodeError("list: instances is missing")
     return read_array(document, "instances")
 
 
 def update_kind(is_complete: bool, is_cached: bool = False) -> UpdateKind:
-    """The kind of an answer of the discovery service."""
+    """Return the kind of an answer of the discovery service."""
     if is_cached:
         return UpdateKind.CACHED_SNAPSHOT
     return UpdateKind.SNAPSHOT if is_complete else UpdateKind.DELTA
@@ -120,7 +121,7 @@
     ids: EndpointIds,
     more_follows: bool = False,
 ) -> EndpointListUpdate:
-    """What the driver is notified of; names become ids and positions in the settings.
+    """Create an update for the driver; names become ids and positions in the settings.
 
     A zone or machine type that the settings do not name gets the position after the last one.
     """
@@ -143,7 +144,7 @@
 
 
 def _monotonic_time(unix_ms: float) -> int:
-    """Unix milliseconds as microseconds of the monotonic clock; 0 stays 0."""
+    """Convert Unix milliseconds to microseconds of the monotonic clock; 0 stays 0."""
     if unix_ms <= 0:
         return 0
     return max(1, int(unix_ms * MICROSECONDS_PER_MILLISECOND) - UNIX_OFFSET)
@@ -152,6 +153,6 @@
 def read_update(
     document: Any, config: Config, ids: EndpointIds, is_cached: bool = False
 ) -> EndpointListUpdate:
-    """Decode a list in the form of the discovery service; raises ConfigError if it is not of that form."""
+    """Decode a list in the discovery service's format; raises ConfigError if it is not in that format."""
     is_complete, version, records = read_records(document)
     return create_update(update_kind(is_complete, is_cached), version, records, config, ids)
--- a/arrowseam/endpoint_sources/snapshots.py
+++ b/arrowseam/endpoint_sources/snapshots.py
@@ -1,7 +1,7 @@
-"""The last valid list of a source, in a folder that outlives the process.
+"""Snapshots: the last valid list of each source, in a file that outlives the process.
 
-The file is replaced in one step and read only if its checksum fits. This runs in the worker, not in the
-proxy's event loop: writing to the disk may take long.
+A file is replaced atomically, and rejected if its checksum does not match. This runs in the worker, not in
+the proxy's event loop: disk writes may block for long.
 
 The first line is a JSON header, the rest the rows, one JSON array:
 
@@ -29,7 +29,7 @@
 
 
 class SnapshotError(ArrowseamError):
-    """A snapshot that cannot be used; the message is one plain line."""
+    """A snapshot that cannot be used; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 
 def snapshot_path(folder: str, proxy: str, source: str) -> Path:
-    """The file of a source; proxies of one machine may share a folder."""
+    """Return the path of a source's snapshot; proxies of one machine may share a folder."""
     digest = blake2b(proxy.encode("utf-8", "surrogatepass"), digest_size=6).hexdigest()
     return Path(folder) / f"arrowseam-{digest}-{source}.members"
 
@@ -51,9 +51,9 @@
 def encode(
     source: str, generation: int | None, taken_at_ms: int, records: Mapping[str, EndpointRecord]
 ) -> bytes:
-    """The content of a file."""
+    """Encode the content of a snapshot file."""
     body = msgspec.json.encode(list(records.values()))
-    head = {
+    header = {
         "format": FORMAT,
         "version": VERSION,
         "source": source,
@@ -62,24 +62,24 @@
         "bytes": len(body),
         "blake2b": blake2b(body, digest_size=32).hexdigest(),
     }
-    return json.dumps(head, separators=(",", ":")).encode() + b"\n" + body
+    return json.dumps(header, separators=(",", ":")).encode() + b"\n" + body
 
 
 def decode(data: bytes, source: str) -> Snapshot:
-    """What ``encode`` has made; raises SnapshotError for anything else."""
+    """Decode the output of ``encode``; raises SnapshotError for anything else."""
     first_line, newline, body = data.partition(b"\n")
     header = _checked_header(first_line, source)
     if not newline or header.get("bytes") != len(body):
         raise SnapshotError(f"torn: {len(body)} bytes of {header.get('bytes')}")
     if header.get("blake2b") != blake2b(body, digest_size=32).hexdigest():
-        raise SnapshotError("its checksum does not fit")
+        raise SnapshotError("checksum mismatch")
     try:
         rows: list[EndpointRecord] = msgspec.json.decode(body, type=list[EndpointRecord])
         generation, taken_at_ms = header["generation"], header["good_ms"]
     except (msgspec.MsgspecError, KeyError, ValueError) as error:
         raise SnapshotError(f"cannot be read: {error}") from None
     if not (generation is None or type(generation) is int) or type(taken_at_ms) is not int:
-        raise SnapshotError("cannot be read: its header is not ours")
+        raise SnapshotError("cannot be read: invalid header")
     if any(record.state not in STATES for record in rows):
         raise SnapshotError("cannot be read: unknown lifecycle")
     return Snapshot(source, generation, taken_at_ms, {record.name: record for record in rows})
@@ -91,16 +91,16 @@
     except (ValueError, RecursionError):
         header = None
     if not isinstance(header, dict) or header.get("format") != FORMAT:
-        raise SnapshotError("foreign: it has no header of ours")
+        raise SnapshotError("foreign: no header of a snapshot")
     if header.get("version") != VERSION:
-        raise SnapshotError(f"its form is version {header.get('version')!r}, ours {VERSION}")
+        raise SnapshotError(f"unsupported format: version {header.get('version')!r}, expected {VERSION}")
     if header.get("source") != source:
-        raise SnapshotError(f"it is of source {header.get('source')!r}")
+        raise SnapshotError(f"it is a snapshot of source {header.get('source')!r}")
     return header
 
 
 def save(path: Path, data: bytes) -> None:
-    """Replace it in one step that outlives a loss of power; raises OSError, and then the old one stands."""
+    """Replace a snapshot atomically and durably; if it raises OSError, the old one is kept."""
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
         fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
@@ -121,7 +121,7 @@
 
 
 def load(path: Path, source: str) -> Snapshot | None:
-    """The snapshot there is; None where there is none; raises SnapshotError."""
+    """Load a snapshot; None if there is none; raises SnapshotError."""
     try:
         with path.open("rb") as file:
             data = file.read(BYTES_MAX + 1)
@@ -130,5 +130,5 @@
     except OSError as error:
         raise SnapshotError(f"cannot be read: {error.strerror}") from None
     if len(data) > BYTES_MAX:
-        raise SnapshotError(f"longer than {BYTES_MAX} bytes")
+        raise SnapshotError(f"larger than {BYTES_MAX} bytes")
     return decode(data, source)
--- a/arrowseam/endpoint_sources/sources.py
+++ b/arrowseam/endpoint_sources/sources.py
@@ -1,8 +1,8 @@
-"""The sources of endpoints of one proxy: files, and the discovery service beside them.
+"""The endpoint sources of one proxy, files and the discovery service; publishes their merged list.
 
-It notifies the driver of what the merged list says. What a valid list is and which source wins is decided
-elsewhere (``validation.py``, ``merge.py``). Everything that grows with a list is done for some hundred
-endpoints in one round of the event loop, so that clients are not held up.
+Validation and the precedence of sources are in ``validation.py`` and ``merge.py``. Work that grows with the
+length of a list is split into batches of ``ENDPOINTS_PER_ROUND``, one for each round of the event loop, so
+that clients are not delayed.
 """
 
 from __future__ import annotations
@@ -31,24 +31,24 @@
 from arrowseam.net.event_loop import EventLoop
 from arrowseam.net.task import Coroutine
 
-INITIAL_LOAD_TIMEOUT = 3 * SECOND  # at the start, clients wait so long for the files
+INITIAL_LOAD_TIMEOUT = 3 * SECOND  # how long a starting proxy keeps clients waiting for the files
 INITIAL_LIST = SourceSettings(INITIAL_SOURCE, -1, SECOND // 2, 30 * SECOND)
 ENDPOINTS_PER_ROUND = 100  # evaluated and published in one round of the event loop
 FREEZE_AFTER = 1000  # published endpoints
 
 
 class EndpointSources:
-    """Merges the sources and publishes the list to the driver."""
+    """Merges the sources and publishes the merged list to the driver."""
 
     def __init__(
         self, loop: EventLoop, config: Config, driver: BalancerDriver, operator: Operator, state: Any = None
     ) -> None:
-        """``state`` is what another process of this proxy has exported."""
+        """``state`` is what the previous process of this proxy exported at a hot restart."""
         self.loop, self.config, self.driver = loop, config, driver
         self.merged = MergedEndpointList()
         self.merged.has_connections = lambda name: driver.connection_count(name) > 0
         self._published_since_freeze = 0
-        self._is_update_unfinished = False  # the balancer has been notified that more follows
+        self._is_update_unfinished = False  # the last update announced another one
         self.publisher = loop.start_task(self._publish(), "endpoint sources")
         self.files = FileSources(loop, self.merged, config.name, self._on_file_reported)
         self._use_initial_list()
@@ -57,19 +57,19 @@
             try:
                 self.merged.import_state(state, clock())
             except (KeyError, TypeError, ValueError) as error:
-                log("snapshot.refused", f"sources: what was handed over cannot be read: {error!r}", "warning")
-        # The balancer starts with the first update, and only then asks for the discovery service's list.
+                log("snapshot.refused", f"sources: handed-over state is invalid: {error!r}", "warning")
+        # The balancer starts with the first update, and only then polls the discovery service.
         driver.update_endpoints(create_update(UpdateKind.SECONDARY_DELTA, 0, (), config, driver.endpoint_ids))
         loop.wake(self.publisher)
 
     def _use_initial_list(self) -> None:
-        """The configuration's list is the discovery service's; without one it stands in for unread files."""
+        """Without a discovery service, use the configuration's list until the files have been read."""
         if self.config.discovery:
             return
         try:
             _, _, records = read_records(self.config.known_endpoints)
         except ConfigError as error:
-            log("discovery.invalid_initial_list", f"sources: the list at the start is no list: {error}")
+            log("discovery.invalid_initial_list", f"sources: initial list is invalid: {error}")
             return
         if records:
             self.merged.configure([INITIAL_LIST])
@@ -78,7 +78,7 @@
     # --- configuration ---
 
     def configure(self, operator: Operator) -> None:
-        """The files there are from now on."""
+        """Set the sources from the operator file."""
         settings = {servers.name: servers for servers in operator.servers}
         self.files.configure(settings, operator.state_dir)
         sources = [SourceSettings(DISCOVERY_SOURCE)] if self.config.discovery else []
@@ -90,12 +90,12 @@
         self.loop.wake(self.publisher)
 
     def republish_endpoints(self) -> None:
-        """The settings have other zones or machine types."""
+        """Publish all endpoints again: positions of zones or machine types have changed."""
         self.merged.republish_all()
         self.loop.wake(self.publisher)
 
     def allow_large_removal(self, name: str) -> bool:
-        """Let one large removal of a source through; False if there is no such source."""
+        """Accept one large removal of a source; False if there is no such source."""
         return self.files.allow_large_removal(name)
 
     def _log_retired(self, names: Iterable[str]) -> None:
@@ -103,10 +103,10 @@
             if self.merged.is_retired(name):
                 log("source.retired", f"sources: {name} is no longer a source", source=name)
 
-    # --- what the sources report ---
+    # --- reports of the sources ---
 
     def on_discovery_update(self, kind: UpdateKind, version: int, records: list[EndpointRecord]) -> None:
-        """An answer of the discovery service: a snapshot, a cached snapshot or a delta."""
+        """Handle an answer of the discovery service: a snapshot, a cached snapshot or a delta."""
         if DISCOVERY_SOURCE not in self.merged.sources:
             return  # it is no longer configured
         now, taken_at_ms = clock(), unix_ms()
@@ -120,7 +120,7 @@
         else:
             self.merged.report_list(DISCOVERY_SOURCE, present, now, version, taken_at_ms, Origin.DISCOVERY)
         if kind is not UpdateKind.CACHED_SNAPSHOT:
-            # The balancer waits to hear that its call has been answered.
+            # An empty update: the balancer waits for the answer to its call.
             self.driver.update_endpoints(
                 create_update(UpdateKind.DELTA, version, (), self.config, self.driver.endpoint_ids)
             )
@@ -152,37 +152,37 @@
         self._is_update_unfinished = more_follows
         self._published_since_freeze += len(changes)
         if not more_follows and self._published_since_freeze >= FREEZE_AFTER:
-            # Otherwise each full garbage collection walks over tens of thousands of objects that stay, 20 ms
-            # at 10,000 endpoints, and holds up all clients. What a connection leaves needs no collector
-            # (``RequestHandler._run``), so nothing is kept by this that should go.
+            # Otherwise each full garbage collection traverses tens of thousands of long-lived objects, which
+            # takes 20 ms at 10,000 endpoints and delays all clients. Objects of a connection are freed
+            # without the collector (``RequestHandler._run``), so freezing leaks none of them.
             self._published_since_freeze = 0
             gc.freeze()
 
     @property
     def is_loaded(self) -> bool:
-        """Whether each file has been read, and all that was found is published."""
+        """Whether each file has been read and all changes are published."""
         return (
-            self.files.answered >= self.files.settings.keys()
+            self.files.first_read_done >= self.files.settings.keys()
             and not self.merged.has_changes
             and not self._is_update_unfinished
         )
 
-    # --- for control, and for the next process ---
+    # --- control and hot restart ---
 
     def counter_lines(self) -> Iterator[str]:
-        """Lines for control's ``counters``."""
+        """Yield the lines for control's ``counters``."""
         return status.counter_lines(self.merged)
 
     def source_rows(self) -> Iterator[dict[str, Any]]:
-        """Each source, as control shows it."""
+        """Yield each source, as control shows it."""
         return status.source_rows(self.merged, self.files, clock())
 
     def endpoint_rows(self) -> Iterator[dict[str, Any]]:
-        """Each endpoint, as control shows it; the list may change between two of them."""
+        """Yield each endpoint, as control shows it; the list may change during the iteration."""
         return status.endpoint_rows(self.merged, set(self.driver.cordoned))
 
     def export_state(self) -> dict[str, Any]:
-        """What another process of this proxy takes over, in the form of the hot restart."""
+        """Return the state that the next process of this proxy takes over at a hot restart."""
         return self.merged.export_state(clock())
 
     def close(self) -> None:
--- a/arrowseam/endpoint_sources/status.py
+++ b/arrowseam/endpoint_sources/status.py
@@ -1,4 +1,4 @@
-"""What control shows of the sources of endpoints. The names of counters and fields are read by tools."""
+"""The rows and counters by which control shows the endpoint sources; tools read their names."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def _age_ms(source: Source) -> int | None:
-    """Of its last valid list; None if there is none."""
+    """Return the age of the last valid list; None if there is none."""
     return max(0, unix_ms() - source.taken_at_ms) if source.reported_at is not None else None
 
 
 def counter_lines(merged: MergedEndpointList) -> Iterator[str]:
-    """Lines for control's ``counters``."""
+    """Yield the lines for control's ``counters``."""
     for name, source in merged.sources.items():
         prefix = f"edge.sources.{name}"
         age_ms = _age_ms(source)
@@ -31,7 +31,7 @@
 
 
 def source_rows(merged: MergedEndpointList, files: FileSources, now: int) -> Iterator[dict[str, Any]]:
-    """Each source."""
+    """Yield a row for each source."""
     for name, source in merged.sources.items():
         settings = files.settings.get(name)
         rejected_at = source.rejected_at
@@ -53,7 +53,7 @@
 
 
 def endpoint_rows(merged: MergedEndpointList, cordoned: set[str]) -> Iterator[dict[str, Any]]:
-    """Each endpoint; the list may change between two of them."""
+    """Yield a row for each endpoint; the list may change during the iteration."""
     for name in list(merged.published):
         if name in merged.published:
             shown = merged.show(name)
--- a/arrowseam/endpoint_sources/traffic.py
+++ b/arrowseam/endpoint_sources/traffic.py
@@ -1,4 +1,4 @@
-"""How the balancer shares out new connections by the weights of a list, and what a change of it shifts."""
+"""Shares of new connections by the weights of a list, and the traffic that a change of the list shifts."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 def traffic_shares(records: Mapping[str, EndpointRecord]) -> dict[str, float]:
-    """Each ready endpoint's share of new connections, 1 in all; empty if none is ready."""
-    ready = [m for m in records.values() if m.state == READY]
+    """Return each ready endpoint's share of new connections; the sum is 1, empty if none is ready."""
+    ready = [record for record in records.values() if record.state == READY]
     if not ready:
         return {}
-    zones = {zone: n for n, zone in enumerate(dict.fromkeys(m.zone for m in ready))}
-    weights = two_stage_shares([(zones[m.zone], scaled_weight(m.weight)) for m in ready])
+    zones = {zone: position for position, zone in enumerate(dict.fromkeys(record.zone for record in ready))}
+    weights = two_stage_shares([(zones[record.zone], scaled_weight(record.weight)) for record in ready])
     total = sum(weights)
-    return {m.name: weight / total for m, weight in zip(ready, weights, strict=True)}
+    return {record.name: weight / total for record, weight in zip(ready, weights, strict=True)}
 
 
 def traffic_shift(old: Mapping[str, EndpointRecord], new: Mapping[str, EndpointRecord]) -> float:
-    """The share of new connections that goes elsewhere with the new list, 0 to 1."""
+    """Return the share of new connections that the new list sends to other endpoints, 0 to 1."""
     before, after = traffic_shares(old), traffic_shares(new)
     if not before or not after:
         return 1.0 if before or after else 0.0
--- a/arrowseam/endpoint_sources/validation.py
+++ b/arrowseam/endpoint_sources/validation.py
@@ -1,8 +1,8 @@
-"""Validates a list from a file: its bytes in, its endpoints out, or one clear reason why not.
+"""Validates the content of an endpoint file: returns its endpoints, or raises one clear reason for rejection.
 
-A file is JSON in the form of the discovery service, the complete list, with an optional ``generation``. It
-is read more strictly than the discovery service's answers, since a person or a script wrote it, and taken
-completely or not at all. Nothing here does I/O or reads a clock.
+A file is JSON in the discovery service's format and holds the complete list, with an optional ``generation``.
+It is read more strictly than the discovery service's answers, since a person or a script wrote it, and is
+accepted completely or not at all. Nothing here does I/O or reads a clock.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from arrowseam.endpoint_sources.records import DRAINING, READY, EndpointRecord
 from arrowseam.errors import ArrowseamError
 
-WEIGHT_MAX = 1e6  # a thousandth of it still counts beside it: shares have 31 bits
-QUOTED_CHARACTERS_MAX = 80  # of the file's own words in a reason
+WEIGHT_MAX = 1e6  # shares have 31 bits: a weight of a thousandth of this still gets a share beside it
+QUOTED_CHARACTERS_MAX = 80  # quoted from the file in an error message
 NUMBER_DIGITS_MAX = 40
 
-# Every reason for which a file is refused, as the figures count them.
+# Every reason for which a file is rejected; the counters are kept by these names.
 REASONS = (
     "absent", "unreadable", "not-a-file", "writable-by-all", "too-large", "torn", "empty-file", "encoding",
     "json", "twice-key", "form", "twice-server", "twice-address", "address", "weight", "lifecycle",
@@ -34,7 +34,7 @@
 
 
 class ListRejectedError(ArrowseamError):
-    """A list that is rejected: the reason, one of ``REASONS``, and one plain line with the place."""
+    """A rejected list: the reason, one of ``REASONS``, and a single line that names the place."""
 
     def __init__(self, reason: str, text: str) -> None:
         super().__init__(text)
@@ -42,7 +42,7 @@
 
 
 class _Row(msgspec.Struct, forbid_unknown_fields=True):
-    """One endpoint, in the form of the discovery service."""
+    """One endpoint, in the discovery service's format."""
 
     name: Annotated[str, Meta(min_length=1, max_length=128, pattern=r"^[!-~]+$")] = msgspec.field(
         name="instanceId"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidList:
-    """A list that is valid by itself."""
+    """A list that is valid on its own, not yet compared with the one in force."""
 
     generation: int | None
     records: dict[str, EndpointRecord]
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListDelta:
-    """What a new list changes over the last valid one."""
+    """The differences of a new list from the last valid one."""
 
     added: list[EndpointRecord] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)
@@ -83,13 +83,13 @@
 
 
 def _quoted(text: object) -> str:
-    """The file's own words, cut if they are long."""
+    """Quote a text from the file, cut if it is long."""
     shown = str(text)
     return shown if len(shown) <= QUOTED_CHARACTERS_MAX else shown[: QUOTED_CHARACTERS_MAX - 3] + "..."
 
 
 def _without_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    """The decoder alone would silently take the last of two values with the same key."""
+    """Reject duplicate keys, of which the decoder alone would silently use the last value."""
     found = dict(pairs)
     if len(found) < len(pairs):
         seen: set[str] = set()
@@ -97,31 +97,31 @@
             if key in seen:
                 name = found.get("instanceId")
                 where = f" in the row of {_quoted(name)}" if isinstance(name, str) else ""
-                raise ListRejectedError("twice-key", f"the key {_quoted(repr(key))} stands twice{where}")
+                raise ListRejectedError("twice-key", f"duplicate key {_quoted(repr(key))}{where}")
             seen.add(key)
     return found
 
 
 def _reject_constant(text: str) -> NoReturn:
-    raise ListRejectedError("json", f"{text} is no JSON")
+    raise ListRejectedError("json", f"{text} is not valid JSON")
 
 
 def _read_integer(text: str) -> int:
-    # Converting a number of thousands of digits would hold up the worker, and it means nothing.
+    # Converting a number of thousands of digits would block the worker, and no field needs one.
     if len(text) > NUMBER_DIGITS_MAX:
         raise ListRejectedError("json", f"a number of {len(text)} digits")
     return int(text)
 
 
 def parse(data: bytes) -> ValidList:
-    """The list that a file's content holds; raises ListRejectedError."""
+    """Parse a file's content; raises ListRejectedError."""
     document = _decode_json(data)
     try:
         found = msgspec.convert(document, _List)
     except msgspec.ValidationError as error:
         raise ListRejectedError("form", _located(str(error), document)) from None
     if not found.is_complete:
-        raise ListRejectedError("form", "reset: a file holds the whole list, not changes")
+        raise ListRejectedError("form", "reset: must be true, since a file holds the complete list")
     return ValidList(found.generation, _checked_records(found.rows))
 
 
@@ -145,11 +145,11 @@
             "json", f"line {error.lineno}, column {error.colno}: {error.msg}{half}"
         ) from None
     except RecursionError:
-        raise ListRejectedError("json", "brackets within brackets without end") from None
+        raise ListRejectedError("json", "brackets are nested too deeply") from None
 
 
 def _located(text: str, document: Any) -> str:
-    """``instances[3] (s-5be2a07c): weight: Expected ...`` from msgspec's words and the document."""
+    """Format an error of msgspec with its place: ``instances[3] (s-5be2a07c): weight: Expected ...``."""
     reason, _, path = text.partition(" - at `$")
     path = path.rstrip("`").lstrip(".")
     row, _, key = path.partition("].")
@@ -166,14 +166,14 @@
 
 def _checked_records(rows: list[_Row]) -> dict[str, EndpointRecord]:
     records: dict[str, EndpointRecord] = {}
-    owners: dict[tuple[bytes, int], str] = {}  # of addresses
+    owners: dict[tuple[bytes, int], str] = {}  # endpoint names by address
     for position, row in enumerate(rows):
         where = f"instances[{position}] ({row.name})"
         if row.name in records:
-            raise ListRejectedError("twice-server", f"{where}: the server is named twice")
+            raise ListRejectedError("twice-server", f"{where}: the server is listed twice")
         address = _packed_address(row.address, where)
         if address in owners:
-            raise ListRejectedError("twice-address", f"{where}: hostPort: it is {owners[address]}'s already")
+            raise ListRejectedError("twice-address", f"{where}: hostPort: already used by {owners[address]}")
         if row.state not in (READY, DRAINING):
             raise ListRejectedError("lifecycle", f"{where}: lifecycle: unknown {_quoted(repr(row.state))}")
         if not math.isfinite(row.weight) or not 0.0 < row.weight <= WEIGHT_MAX:
@@ -195,9 +195,9 @@
 
 
 def _packed_address(text: str, where: str) -> tuple[bytes, int]:
-    """An address in the one form that it has, whichever way it is written.
+    """Return an address in binary form, which is the same for every way of writing it.
 
-    A name is rejected: looking it up would block.
+    A host name is rejected: resolving it would block.
     """
     try:
         host, port = parse_address(text)
@@ -206,8 +206,10 @@
     try:
         packed = socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
     except OSError:
-        raise ListRejectedError("address", f"{where}: hostPort: {_quoted(host)} is not an address") from None
-    except ValueError as error:  # a zero byte in it
+        raise ListRejectedError(
+            "address", f"{where}: hostPort: {_quoted(host)} is not an IP address"
+        ) from None
+    except ValueError as error:  # it contains a zero byte
         raise ListRejectedError("address", f"{where}: hostPort: {_quoted(error)}") from None
     if port == 0:
         raise ListRejectedError("address", f"{where}: hostPort: the port is 0")
@@ -215,7 +217,7 @@
 
 
 def ready_weight(records: Mapping[str, EndpointRecord]) -> float:
-    """The sum of the weights of those that are ready."""
+    """Return the sum of the weights of the ready endpoints."""
     return math.fsum(record.weight for record in records.values() if record.state == READY)
 
 
@@ -226,13 +228,13 @@
     max_removed: float,
     allow: bool = False,
 ) -> ListDelta:
-    """What a valid list changes over the last one.
+    """Compare a valid list with the one in force.
 
     Args:
-        current: the endpoints of the last list.
+        current: the endpoints of the list in force.
         generation: its generation; None = it had none.
         max_removed: share of the ready weight that the new list may remove.
-        allow: let a larger removal through, and nothing else.
+        allow: accept a larger removal; no other check is relaxed.
 
     Raises:
         ListRejectedError: the new list is older, or removes too much.
@@ -249,9 +251,9 @@
 def _check_removal(
     new: Mapping[str, EndpointRecord], current: Mapping[str, EndpointRecord], max_removed: float
 ) -> None:
-    """A file that was cut or made from half the data would otherwise take most endpoints out of service."""
+    """A file that was truncated or made from partial data would otherwise remove most endpoints."""
     if not new:
-        raise ListRejectedError("no-servers", "instances: the list drops every server")
+        raise ListRejectedError("no-servers", "instances: the list removes all servers")
     before = ready_weight(current)
     if before <= 0.0:
         return
@@ -260,16 +262,16 @@
         for record in current.values()
         if record.state == READY and (record.name not in new or new[record.name].state != READY)
     )
-    # The tolerance is for rounding errors of the sums.
+    # The tolerance covers rounding errors of the sums.
     if removed > max_removed * before * (1 + 1e-9):
         raise ListRejectedError(
             "removes-too-much",
-            f"instances: {removed / before:.0%} of the ready weight would leave, over {max_removed:.0%}",
+            f"instances: {removed / before:.0%} of the ready weight would be removed, over {max_removed:.0%}",
         )
 
 
 def difference(new: Mapping[str, EndpointRecord], current: Mapping[str, EndpointRecord]) -> ListDelta:
-    """What is new, gone and changed."""
+    """Return the endpoints that were added, removed and changed."""
     delta = ListDelta([], [name for name in current if name not in new], [])
     for name, record in new.items():
         previous = current.get(name)
--- a/arrowseam/endpoint_sources/worker.py
+++ b/arrowseam/endpoint_sources/worker.py
@@ -1,20 +1,20 @@
-"""The process that reads files of endpoints for a proxy (``python -m arrowseam.endpoint_sources.worker``).
+"""The worker process that reads endpoint files for a proxy (``python -m arrowseam.endpoint_sources.worker``).
 
-It keeps, for each source, the last valid list as the proxy has it, and writes the snapshots. What a valid
-list is, ``validation.py`` decides. The worker ends when its input does, so it cannot outlive the proxy.
+For each source, it keeps the last valid list as the proxy has it, and writes the snapshots. Lists are checked
+by ``validation.py``. The worker ends at the end of its input, so it cannot outlive the proxy.
 
-It is asked and answers in JSON lines on one socket, its standard input and output.
+Requests and answers are JSON lines on one socket, its standard input and output.
 
-    {"do":"hold","source":S,"file":F,"snapshot":PATH,...}  a source, and how it is read (``SourceState``)
-    {"do":"hold","source":S,"rows":[..],"done":B}  some rows that the proxy has; ``done``: the last
-    {"do":"restore","source":S}                    the snapshot, if there is one
-    {"do":"read","source":S,"always":B,"allow":B}  the file; not ``always``: only if written since
-    {"do":"drop","source":S}
+    {"do":"hold","source":S,"file":F,"snapshot":PATH,...}  a source and its settings (``SourceState``)
+    {"do":"hold","source":S,"rows":[..],"done":B}  rows of the list in force; ``done``: the last ones
+    {"do":"restore","source":S}                    load the snapshot, if there is one
+    {"do":"read","source":S,"always":B,"allow":B}  read the file; not ``always``: only if changed
+    {"do":"drop","source":S}                       forget the source
 
-``hold`` and ``drop`` are not answered. The others are answered by a line with ``verdict`` (``good``,
+``hold`` and ``drop`` are not answered. The answer to the others is a line with ``verdict`` (``good``,
 ``same``, ``refused`` with ``reason`` and ``text``, or ``none``); ``good`` has ``lines``, the number of
-lines that follow with ``rows`` that changed or were added or names ``removed``, at most ``ROWS_PER_LINE``
-each. A line with ``event`` may come before any answer.
+lines that follow, each with at most ``ROWS_PER_LINE`` added or changed ``rows`` or ``removed`` names. A line
+with ``event`` may precede any answer.
 """
 
 from __future__ import annotations
@@ -35,27 +35,28 @@
 from arrowseam.endpoint_sources.records import EndpointRecord
 from arrowseam.errors import UsageError
 
-ROWS_PER_LINE = 200  # what the proxy's event loop decodes without being held up
+ROWS_PER_LINE = 200  # few enough for the proxy to decode in one round of its event loop
 SNAPSHOT_INTERVAL_SECONDS = 0.2  # between two snapshots of one source
 READ_BYTES = 1 << 16
 MILLISECOND_NS = 1_000_000
 
-# After these rejections the last content is forgotten: the same content is reported again when it is back.
-NOT_READ = ("absent", "not-a-file", "unreadable", "torn", "too-large", "writable-by-all")
+# After these rejections the last content is forgotten, so that the same content is reported again once it
+# can be read.
+READ_FAILURES = ("absent", "not-a-file", "unreadable", "torn", "too-large", "writable-by-all")
 
 
 @dataclass(slots=True)
 class SourceState:
-    """One source: how it is read, the list in force, and what was last read.
+    """One source: its settings, the list in force, and the last read.
 
     Attributes:
-        snapshot: the path of its snapshot; empty = none is kept.
-        taken_at_ms: when the list in force was taken, Unix milliseconds.
-        signature: of the file when it was last read; None = there was none.
-        was_read: whether ``signature`` says anything.
-        content, was_allowed: what was last read, valid or not, and whether a large removal was allowed then;
-            the same content is answered for only once.
-        snapshot_due, snapshot_saved_at: seconds of the monotonic clock.
+        snapshot: path of the snapshot; empty = no snapshots.
+        taken_at_ms: when the list in force was accepted, Unix milliseconds.
+        signature: signature of the file when last read; None = it was absent.
+        was_read: whether the file has been read and ``signature`` is set.
+        content, was_allowed: the content last read, valid or not, and whether a large removal was allowed
+            then; a read that finds both unchanged is answered by ``same``.
+        snapshot_due_at, snapshot_saved_at: seconds of the monotonic clock.
     """
 
     file: str = ""
@@ -69,11 +70,11 @@
     was_read: bool = False
     content: bytes | None = None
     was_allowed: bool = False
-    snapshot_due: float | None = None
+    snapshot_due_at: float | None = None
     snapshot_saved_at: float = 0.0
 
 
-# Keys of ``hold``, and the fields that they set.
+# Keys of a ``hold`` request, and the fields that they set.
 HOLD_FIELDS = {
     "file": "file",
     "snapshot": "snapshot",
@@ -84,19 +85,19 @@
 }
 
 
-def _in_parts(rows: list[Any]) -> Iterator[list[Any]]:
+def _batches(rows: list[Any]) -> Iterator[list[Any]]:
     for start in range(0, len(rows), ROWS_PER_LINE):
         yield rows[start : start + ROWS_PER_LINE]
 
 
 class Worker:
-    """Answers the proxy's lines."""
+    """Handles the proxy's requests."""
 
     def __init__(self) -> None:
         self.sources: dict[str, SourceState] = {}
 
     def handle(self, request: dict[str, Any]) -> list[bytes]:
-        """The lines that answer one line."""
+        """Handle one request; returns the lines of the answer."""
         name = str(request["source"])
         match request["do"]:
             case "hold":
@@ -109,7 +110,7 @@
                 return self._restore(name, self.sources[name])
             case "read":
                 return self._read(self.sources[name], bool(request["always"]), bool(request["allow"]))
-        raise UsageError(f"asked for {request['do']!r}")
+        raise UsageError(f"unknown request {request['do']!r}")
 
     def _hold(self, state: SourceState, request: dict[str, Any]) -> None:
         for key, field_name in HOLD_FIELDS.items():
@@ -118,10 +119,10 @@
         state.was_read, state.content = False, None
         state.records.update({row[0]: EndpointRecord(*row) for row in request.get("rows", [])})
         if request.get("done") and state.records and state.snapshot:
-            state.snapshot_due = 0.0  # a worker that ended before may not have written it
+            state.snapshot_due_at = 0.0  # the previous worker may have ended before it wrote one
 
     def _restore(self, name: str, state: SourceState) -> list[bytes]:
-        """The snapshot, in force from now on."""
+        """Load the snapshot and put its list in force."""
         if not state.snapshot:
             return [_encode_verdict("none")]
         try:
@@ -136,7 +137,7 @@
         return _encode_valid(state, delta, False)
 
     def _read(self, state: SourceState, always: bool, allow: bool) -> list[bytes]:
-        """The file, in force from now on if it is valid."""
+        """Read the file and put its list in force if it is valid."""
         if not always and state.was_read and file_reader.signature(state.file) == state.signature:
             return [_encode_verdict("same")]
         try:
@@ -144,22 +145,22 @@
                 return [_encode_verdict("same")]
             assert state.content is not None
             new = validation.parse(state.content)
-            delta, was_needed = _compare(new, state, allow)
+            delta, needed_allowance = _compare(new, state, allow)
         except validation.ListRejectedError as error:
-            if error.reason in NOT_READ:
+            if error.reason in READ_FAILURES:
                 state.content = None
             return [_encode_verdict("refused", reason=error.reason, text=str(error))]
         except MemoryError:
-            return [_encode_verdict("refused", reason="too-large", text="it takes too much memory")]
+            return [_encode_verdict("refused", reason="too-large", text="not enough memory to read it")]
         state.records = new.records
         state.generation = new.generation if new.generation is not None else state.generation
         state.taken_at_ms = time.time_ns() // MILLISECOND_NS
         if state.snapshot:
-            state.snapshot_due = state.snapshot_saved_at + SNAPSHOT_INTERVAL_SECONDS
-        return _encode_valid(state, delta, was_needed)
+            state.snapshot_due_at = state.snapshot_saved_at + SNAPSHOT_INTERVAL_SECONDS
+        return _encode_valid(state, delta, needed_allowance)
 
     def _read_content(self, state: SourceState, allow: bool) -> bool:
-        """Read the file; whether it is news."""
+        """Read the file; returns whether the content or the allowance has changed."""
         state.was_read = True
         state.signature = file_reader.signature(state.file)
         content, state.signature = file_reader.read(state.file, state.max_bytes)
@@ -168,14 +169,14 @@
         state.content, state.was_allowed = content, allow
         return True
 
-    # --- snapshots, after the answers ---
+    # --- snapshots, written after the answers ---
 
     def save_snapshots(self, now: float, even_if_not_due: bool = False) -> str | None:
-        """Write the snapshots that are due; the first thing that went wrong."""
+        """Write the snapshots that are due; returns the first failure."""
         failure = None
         for name, state in self.sources.items():
-            if state.snapshot_due is not None and (even_if_not_due or now >= state.snapshot_due):
-                state.snapshot_due, state.snapshot_saved_at = None, now
+            if state.snapshot_due_at is not None and (even_if_not_due or now >= state.snapshot_due_at):
+                state.snapshot_due_at, state.snapshot_saved_at = None, now
                 data = snapshots.encode(name, state.generation, state.taken_at_ms, state.records)
                 try:
                     snapshots.save(Path(state.snapshot), data)
@@ -184,13 +185,13 @@
         return failure
 
     def next_snapshot_at(self) -> float | None:
-        """When a snapshot is due next, seconds of the monotonic clock; None = none is."""
-        due = (state.snapshot_due for state in self.sources.values() if state.snapshot_due is not None)
+        """Return when the next snapshot is due, in seconds of the monotonic clock; None = none is due."""
+        due = (state.snapshot_due_at for state in self.sources.values() if state.snapshot_due_at is not None)
         return min(due, default=None)
 
 
 def _compare(new: validation.ValidList, state: SourceState, allow: bool) -> tuple[validation.ListDelta, bool]:
-    """What the new list changes, and whether it had to be allowed; raises ListRejectedError."""
+    """Return what the new list changes, and whether that needed the allowance; raises ListRejectedError."""
     current = (state.records, state.generation, state.max_removed)
     try:
         return validation.compare(new, *current), False
@@ -205,9 +206,9 @@
 
 
 def _encode_valid(state: SourceState, delta: validation.ListDelta, was_allowed: bool) -> list[bytes]:
-    """The answer for a valid list: its summary, then what it changes."""
-    lines = [msgspec.json.encode({"removed": names}) for names in _in_parts(delta.removed)]
-    lines += [msgspec.json.encode({"rows": rows}) for rows in _in_parts(delta.changed + delta.added)]
+    """Encode the answer for a valid list: a summary, then its changes."""
+    lines = [msgspec.json.encode({"removed": names}) for names in _batches(delta.removed)]
+    lines += [msgspec.json.encode({"rows": rows}) for rows in _batches(delta.changed + delta.added)]
     summary = {
         "verdict": "good",
         "lines": len(lines),
@@ -223,8 +224,8 @@
 
 
 def main() -> None:
-    """Answer lines until the input ends, then write the snapshots that are not written yet."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # an interrupt is for the proxy, whose end ends this process
+    """Answer requests until the input ends, then write all pending snapshots."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # it is for the proxy, with whose end this worker ends
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     worker, unfinished = Worker(), b""
     while True:
--- a/tests/test_endpoint_source_rules.py
+++ b/tests/test_endpoint_source_rules.py
@@ -86,7 +86,7 @@
         (text(row("a b")), "form", "instanceId"),
         (text(row(), row(port=5001)), "twice-server", KATY),
         (text(row(), row("other")), "twice-address", KATY),
-        (text(row("a", hostPort="[::1]:5"), row("b", hostPort="[0:0::1]:5")), "twice-address", "a's"),
+        (text(row("a", hostPort="[::1]:5"), row("b", hostPort="[0:0::1]:5")), "twice-address", "used by a"),
         (text(row(hostPort="feed.katy.example.org:5000")), "address", "instances[0]"),
         (text(row(hostPort="10.0.0.1")), "address", "HOST:PORT"),
         (text(row(hostPort="10.0.0.1:0")), "address", "port"),
