--- a/arrowseam/config/__init__.py
+++ b/arrowseam/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a proxy is configured with: settings, the list of endpoints to begin with, and the operator file."""
+"""The configuration of a proxy: settings, the initial list of endpoints, and the operator file."""
--- a/arrowseam/config/decode.py
+++ b/arrowseam/config/decode.py
@@ -1,7 +1,7 @@
-"""Decodes the settings that a proxy and the simulator are both given.
+"""Decodes the settings, which the proxy and the simulator share.
 
-This is the one place where the configuration's own key names (``lanes``, ``worth``, ``effect`` and so on) are
-mapped to the terms that the code uses. The configuration gives all times in microseconds.
+This module maps the key names of the configuration (``lanes``, ``worth``, ``effect`` and so on) to the terms
+of the code. All times in the configuration are in microseconds.
 """
 
 from __future__ import annotations
@@ -30,52 +30,52 @@
 
 
 class DecodeError(ArrowseamError):
-    """What arrived is not what its form allows; the message is one plain line."""
+    """The input does not have the expected format; the message is a single line."""
 
 
-def read_number(found: dict[str, Any], key: str, default: float = 0.0) -> float:
-    """A finite number; the default if the key is missing or null. Raises DecodeError."""
-    value = found.get(key, default)
+def read_number(fields: dict[str, Any], key: str, default: float = 0.0) -> float:
+    """Read a finite number; the default if the key is missing or null. Raises DecodeError."""
+    value = fields.get(key, default)
     if value is None:
         return default
     try:
         if not isinstance(value, bool) and isinstance(value, (int, float)) and math.isfinite(value):
             return float(value)
-    except OverflowError:  # a whole number longer than any float
+    except OverflowError:  # an integer too large for a float
         pass
     raise DecodeError(f"settings: {key} must be a finite number")
 
 
-def read_int(found: dict[str, Any], key: str, default: int = 0) -> int:
-    """The same, cut to an integer."""
-    return int(read_number(found, key, default))
+def read_int(fields: dict[str, Any], key: str, default: int = 0) -> int:
+    """Read a finite number as ``read_number`` does, truncated to an integer."""
+    return int(read_number(fields, key, default))
 
 
-def read_object(value: dict[str, Any], key: str) -> dict[str, Any]:
-    """An object; empty if the key is missing or null. Raises DecodeError."""
-    found = value.get(key) or {}
-    if not isinstance(found, dict):
+def read_object(fields: dict[str, Any], key: str) -> dict[str, Any]:
+    """Read an object; empty if the key is missing or null. Raises DecodeError."""
+    nested = fields.get(key) or {}
+    if not isinstance(nested, dict):
         raise DecodeError(f"settings: {key} must be an object")
-    return found
+    return nested
 
 
-def read_array(value: dict[str, Any], key: str) -> list[Any]:
-    """An array; empty if the key is missing or null. Raises DecodeError."""
-    found = value.get(key) or []
-    if not isinstance(found, list):
+def read_array(fields: dict[str, Any], key: str) -> list[Any]:
+    """Read an array; empty if the key is missing or null. Raises DecodeError."""
+    array = fields.get(key) or []
+    if not isinstance(array, list):
         raise DecodeError(f"settings: {key} must be an array")
-    return found
+    return array
 
 
-def number_at(found: list[Any], position: int) -> float:
-    """The number at a position of an array; 0 if it is shorter."""
-    return read_number({"n": found[position]}, "n") if position < len(found) else 0.0
+def number_at(numbers: list[Any], position: int) -> float:
+    """Read the number at a position of an array; 0 if the array is shorter."""
+    return read_number({"n": numbers[position]}, "n") if position < len(numbers) else 0.0
 
 
 class UnusedSettings(NamedTuple):
-    """Values that a configuration may state and nothing decides by.
+    """Settings that a configuration may contain but that do not affect any decision.
 
-    They are checked like the others, and the digest of the settings, which proxies compare, covers them.
+    They are validated like the others, and are part of the settings digest that proxies compare.
     """
 
     tenant_shares: tuple[float, ...] = ()
@@ -92,7 +92,7 @@
 
 
 def parse_unused_settings(document: dict[str, Any]) -> UnusedSettings:
-    """Decode the values that nothing decides by; raises DecodeError as ``parse_settings`` does."""
+    """Decode the settings that affect no decision; raises DecodeError as ``parse_settings`` does."""
     limits = read_object(document, "caps")
     prices = read_object(document, "prices")
     tenants = read_array(document, "tenants")
@@ -115,7 +115,7 @@
     """Decode the settings of one proxy; unknown keys are ignored.
 
     Raises:
-        DecodeError: the text is not JSON, or a value has not the type or range that it must have.
+        DecodeError: the text is not JSON, or a value is of a wrong type or out of range.
     """
     try:
         document = json.loads(text)
@@ -189,27 +189,27 @@
     return tuple(tenants)
 
 
-def _rules(found: dict[str, Any]) -> Rules:
+def _rules(fields: dict[str, Any]) -> Rules:
     default = Rules()
     return Rules(
-        drain_grace=read_int(found, "drain_grace"),
-        max_poll_interval=read_int(found, "ask_within", default.max_poll_interval),
-        cold_capacity_fraction=read_number(found, "cold_share", default.cold_capacity_fraction),
-        warm_up_time=read_int(found, "warm_up"),
-        overload_multiple=read_number(found, "fall_multiple", default.overload_multiple),
-        overload_window=read_int(found, "overload_for", default.overload_window),
+        drain_grace=read_int(fields, "drain_grace"),
+        max_poll_interval=read_int(fields, "ask_within", default.max_poll_interval),
+        cold_capacity_fraction=read_number(fields, "cold_share", default.cold_capacity_fraction),
+        warm_up_time=read_int(fields, "warm_up"),
+        overload_multiple=read_number(fields, "fall_multiple", default.overload_multiple),
+        overload_window=read_int(fields, "overload_for", default.overload_window),
     )
 
 
-def _limits(found: dict[str, Any]) -> Limits:
+def _limits(fields: dict[str, Any]) -> Limits:
     return Limits(
-        max_attempts=read_int(found, "max_attempts", 1),
-        connect_timeout=read_int(found, "dial_timeout"),
-        max_retry_after=read_int(found, "max_retry_after"),
-        retry_after_allowed=bool(found.get("retry_after")),
-        health_checks_allowed=bool(found.get("probing")),
+        max_attempts=read_int(fields, "max_attempts", 1),
+        connect_timeout=read_int(fields, "dial_timeout"),
+        max_retry_after=read_int(fields, "max_retry_after"),
+        retry_after_allowed=bool(fields.get("retry_after")),
+        health_checks_allowed=bool(fields.get("probing")),
     )
 
 
-def _prices(found: dict[str, Any]) -> Prices:
-    return Prices(cross_zone=read_number(found, "cross_zone"), health_check=read_number(found, "probe"))
+def _prices(fields: dict[str, Any]) -> Prices:
+    return Prices(cross_zone=read_number(fields, "cross_zone"), health_check=read_number(fields, "probe"))
--- a/arrowseam/config/operator.py
+++ b/arrowseam/config/operator.py
@@ -1,8 +1,8 @@
-"""The functions of the operator file: their arguments, with bounds and defaults, and their checks.
+"""The functions of the operator file: their arguments, with bounds and defaults, and their validation.
 
-A script is evaluated in a process of its own (``script.py``). A proxy without an operator file does not
-import this module: msgspec takes 1.7 MB. The names and docstrings of the classes stand in the JSON schema
-that ``config schema --json`` prints.
+Scripts are evaluated in a separate process (``script.py``). A proxy without an operator file does not import
+this module, since msgspec takes 1.7 MB. The class names and docstrings are part of the JSON schema that
+``config schema --json`` prints.
 """
 
 from __future__ import annotations
@@ -19,30 +19,34 @@
 from arrowseam.config.budgets import DisruptionBudgets
 from arrowseam.errors import ArrowseamError
 
-SOURCE_NAME = "^[a-z0-9][a-z0-9_-]{0,31}$"
-ZONES_MAX = 64  # of one cluster
+NAME_PATTERN = "^[a-z0-9][a-z0-9_-]{0,31}$"
+ZONES_MAX = 64  # in one cluster
 RESERVED_SOURCE_NAMES = ("directory", "known")
 
 Text = Annotated[str, Meta(min_length=1, max_length=4096)]
 
 
 class Struct(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True):
-    """A function's arguments; nothing changes one once it is made."""
+    """The arguments of one function; immutable."""
 
 
 class Servers(Struct, frozen=True):
     """Servers and weights from a file, watched; ``docs/operators/watched-files.md``."""
 
     file: Text  # relative to the operator file's folder
-    name: Annotated[str, Meta(pattern=f"^$|{SOURCE_NAME}")] = ""  # at control and in the log; else the file's
-    rank: Annotated[int, Meta(ge=1, le=1000)] = 10  # over other sources that name a server; discovery's is 0
+    name: Annotated[str, Meta(pattern=f"^$|{NAME_PATTERN}")] = (
+        ""  # in control and logs; default: from the file's name
+    )
+    rank: Annotated[int, Meta(ge=1, le=1000)] = (
+        10  # of the sources that name a server, the highest wins; discovery has 0
+    )
     max_removed: Annotated[float, Meta(ge=0.0, le=1.0)] = (
-        0.5  # share of the ready weight one version may drop
+        0.5  # share of the ready weight that one version may remove
     )
     max_bytes: Annotated[int, Meta(ge=1, le=256 << 20)] = 16 << 20
-    settle_ms: Annotated[int, Meta(ge=0, le=1000)] = 500  # an endpoint no source names is kept so long
-    drain_s: Annotated[int, Meta(ge=1, le=3600)] = 30  # then it drains so long, then it is removed
-    poll_ms: Annotated[int, Meta(ge=50, le=500)] = 500  # between two reads where inotify does not serve
+    settle_ms: Annotated[int, Meta(ge=0, le=1000)] = 500  # how long an endpoint that no source names is kept
+    drain_s: Annotated[int, Meta(ge=1, le=3600)] = 30  # how long it then drains before it is removed
+    poll_ms: Annotated[int, Meta(ge=50, le=500)] = 500  # between reads of a file that inotify cannot watch
 
 
 class Place(Struct, frozen=True, rename={"class_name": "class"}):
@@ -55,7 +59,7 @@
 class Nats(Struct, frozen=True):
     """The NATS front, as ``deploy/nats.json`` says it."""
 
-    listen: Text  # HOST:PORT, as all addresses
+    listen: Text  # HOST:PORT, like all addresses
     server_port: Annotated[int, Meta(ge=1, le=65535)] = 4222
     servers: dict[str, str] = {}
     users: dict[str, Place] = {}
@@ -82,23 +86,29 @@
 class Fleet(Struct, frozen=True):
     """The proxies keep a view of themselves; ``docs/operators/fleet-view.md``."""
 
-    listen: Text  # HOST:PORT for datagrams and streams, addresses only
-    advertise: str = ""  # where the others reach it, if not there
-    seeds: Annotated[tuple[Text, ...], Meta(max_length=64)] = ()  # members to begin with
-    name: Annotated[str, Meta(pattern=SOURCE_NAME)] = "fleet"  # members of another name are ignored
+    listen: Text  # IP:PORT for datagrams and streams
+    advertise: str = ""  # where other members reach it, if not at ``listen``
+    seeds: Annotated[tuple[Text, ...], Meta(max_length=64)] = ()  # members to join through
+    name: Annotated[str, Meta(pattern=NAME_PATTERN)] = (
+        "fleet"  # of the cluster; members of others are ignored
+    )
     # Limits are shared among the members that may be alive (true), among the configured number (false), or
-    # among the members without counting any of them out ("hold", for a change to zones).
+    # among all members without counting any of them out ("hold", for a change to zones).
     count: bool | Literal["hold"] = True
-    zone: Annotated[str, Meta(pattern=f"^$|{SOURCE_NAME}")] = (
-        ""  # of this proxy; empty: the cluster has no zones
+    zone: Annotated[str, Meta(pattern=f"^$|{NAME_PATTERN}")] = (
+        ""  # of this proxy; empty = the cluster has no zones
     )
-    zones: dict[str, Annotated[int, Meta(ge=1, le=16_384)]] = {}  # members of each, the same at all proxies
+    zones: dict[
+        str, Annotated[int, Meta(ge=1, le=16_384)]
+    ] = {}  # number of members by zone, the same at all proxies
     period_ms: Annotated[int, Meta(ge=50, le=10_000)] = 300  # between two probes
-    timeout_ms: Annotated[int, Meta(ge=10, le=5_000)] = 100  # of a probe, before other members probe too
-    forget_s: Annotated[int, Meta(ge=60, le=7 * 24 * 3600)] = 3600  # members that have ended
+    timeout_ms: Annotated[int, Meta(ge=10, le=5_000)] = (
+        100  # of a probe, until other members are asked to probe
+    )
+    forget_s: Annotated[int, Meta(ge=60, le=7 * 24 * 3600)] = 3600  # after which ended members are forgotten
 
 
-# The function's fields are those of the type that voters go by.
+# Has the fields of ``DisruptionBudgets``, the type that the consensus log holds.
 BudgetsSaid: type[Struct] = msgspec.defstruct(  # type: ignore[assignment]
     "BudgetsSaid",
     [(f.name, f.type, f.default) for f in msgspec.structs.fields(DisruptionBudgets)],
@@ -116,7 +126,7 @@
 
 
 class Agree(Struct, frozen=True):
-    """Both, as the proxy is told."""
+    """The combined arguments of ``agree`` and ``budgets``."""
 
     voters: dict[str, str]
     restart: str = "handover"
@@ -124,7 +134,7 @@
 
 
 class Operator(Struct, frozen=True):
-    """All that an operator file sets up."""
+    """The result of evaluating an operator file."""
 
     servers: tuple[Servers, ...] = ()
     fleet: Fleet | None = None
@@ -146,14 +156,14 @@
 
 
 class OperatorCallError(ArrowseamError):
-    """A call of a function that cannot be taken; the message is ``field: reason``."""
+    """An invalid call of a function; the message is ``field: reason``."""
 
 
 def check_call(function: str, arguments: dict[str, Any], classes: list[str], tenants: list[str]) -> Struct:
-    """One call's arguments, checked. ``classes`` and ``tenants`` are the settings' names.
+    """Validate the arguments of one call. ``classes`` and ``tenants`` are the names in the settings.
 
     Raises:
-        OperatorCallError: an argument is unknown, missing, or not what it must be.
+        OperatorCallError: an argument is unknown, missing or invalid.
     """
     try:
         call = msgspec.convert(arguments, FUNCTIONS[function])
@@ -171,7 +181,7 @@
 
 
 def _check_addresses(call: Nats | Fleet | AgreeSaid) -> None:
-    """HOST:PORT each; between proxies HOST is an address and PORT is not 0."""
+    """Check that each is HOST:PORT; between proxies, HOST must be an IP address and PORT not 0."""
     between_proxies = not isinstance(call, Nats)
     for field, text in _addresses(call):
         try:
@@ -186,11 +196,11 @@
     if not port:
         raise ValueError("a port is needed, not 0")
     if host != str(ipaddress.ip_address(host)):
-        raise ValueError(f"not an address: {host!r}")
+        raise ValueError(f"not an IP address: {host!r}")
 
 
 def _addresses(call: Nats | Fleet | AgreeSaid) -> list[tuple[str, str]]:
-    """Fields and their addresses, without empty ones."""
+    """Return the fields that hold addresses, and the addresses, without empty ones."""
     if isinstance(call, AgreeSaid):
         return [(f"voters.{name}", text) for name, text in call.voters.items()]
     if isinstance(call, Fleet):
@@ -212,7 +222,7 @@
         raise OperatorCallError("zone: needed with zones")
     if len(fleet.zones) > ZONES_MAX:
         raise OperatorCallError(f"zones: at most {ZONES_MAX}")
-    if not all(re.match(SOURCE_NAME, name) for name in fleet.zones):
+    if not all(re.match(NAME_PATTERN, name) for name in fleet.zones):
         raise OperatorCallError("zones: a name is lower-case letters, digits, - and _, at most 32")
 
 
@@ -228,7 +238,7 @@
 
 
 def combine_agree(agree: Struct | None, budgets: Struct | None) -> Agree | None:
-    """What the functions ``agree`` and ``budgets`` say together; None without ``agree``."""
+    """Combine the arguments of ``agree`` and ``budgets``; None without ``agree``."""
     if not isinstance(agree, AgreeSaid):
         return None
     limits = msgspec.structs.asdict(budgets) if budgets is not None else {}
@@ -236,22 +246,22 @@
 
 
 def decode(text: bytes) -> Operator:
-    """What ``encode`` has made; raises msgspec.DecodeError or ValidationError."""
+    """Decode the output of ``encode``; raises msgspec.DecodeError or ValidationError."""
     return msgspec.json.decode(text, type=Operator)
 
 
 def encode(operator: Operator) -> bytes:
-    """As the process that evaluates the script answers."""
+    """Encode the result of a script for the process that asked for its evaluation."""
     return msgspec.json.encode(operator)
 
 
 def nats_document(nats: Nats) -> bytes:
-    """The same as a NATS file says it."""
+    """Encode the arguments of ``nats`` in the format of a NATS configuration file."""
     return msgspec.json.encode(nats)
 
 
 def schema() -> list[tuple[str, str, list[tuple[str, str, str]]]]:
-    """Each function: its name, what it is for, and its fields with type, bounds and default."""
+    """Return each function's name and description, and its fields with type, bounds and default."""
     functions = []
     for name, call_type in FUNCTIONS.items():
         _, components = msgspec.json.schema_components([call_type])
@@ -266,7 +276,7 @@
 
 
 def _type_text(field_schema: dict[str, Any]) -> str:
-    """A field's type and bounds, for a table."""
+    """Format a field's type and bounds for a table."""
     if "enum" in field_schema:
         return " or ".join(map(str, field_schema["enum"]))
     if "anyOf" in field_schema:
--- a/arrowseam/config/proxy.py
+++ b/arrowseam/config/proxy.py
@@ -1,6 +1,6 @@
-"""The configuration that a proxy reads at its start and at SIGHUP.
+"""The configuration file that a proxy reads at start and at SIGHUP.
 
-The names of its keys are mapped to the terms of the code here and in ``decode.py``.
+Its key names are mapped to the terms of the code here and in ``decode.py``.
 """
 
 from __future__ import annotations
@@ -22,12 +22,16 @@
 from arrowseam.errors import ArrowseamError
 
 DEFAULT_DESCRIPTOR_LIMIT = 1024
-OPTIONAL_KEYS = ("seed", "known", "control")  # a file may leave these out though the last one had them
-OWN_SETTINGS = ("me", "zone")  # of one proxy, never in a bundle
+OPTIONAL_KEYS = (
+    "seed",
+    "known",
+    "control",
+)  # a reloaded file may omit these even if the previous one had them
+PER_PROXY_SETTINGS = ("me", "zone")  # specific to one proxy, never in a bundle
 
 
 class ConfigError(ArrowseamError):
-    """A configuration or a list of endpoints is not what it must be; the message is one plain line."""
+    """A configuration or a list of endpoints is invalid; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,13 +40,13 @@
 
     Attributes:
         listen, control, discovery: HOST:PORT; ``control`` and ``discovery`` may be empty.
-        seed: of all random choices.
-        descriptor_limit: descriptors that the process may have open.
-        known_endpoints: the list of endpoints to begin with, in the discovery service's form.
-        settings: what the balancer goes by.
+        seed: seed of all random choices.
+        descriptor_limit: maximum number of open file descriptors of the process.
+        known_endpoints: the initial list of endpoints, in the discovery service's format.
+        settings: settings of the balancer.
         zones, machine_types, classes, tenants: positions in the settings, by name.
-        keys: the paths of all keys that the file has; a later file that lacks one is incomplete.
-        unused_settings: values that nothing decides by; the digest of the settings covers them.
+        keys: paths of all keys in the file; a reloaded file that lacks one is incomplete.
+        unused_settings: settings that affect no decision, but are part of the settings digest.
     """
 
     name: str
@@ -62,22 +66,22 @@
 
     @property
     def class_names(self) -> list[str]:
-        """The names of the classes, by position."""
+        """The names of the request classes, by position."""
         return list(self.classes)
 
     @property
     def longest_deadline(self) -> int:
-        """Of all classes, in microseconds."""
+        """The longest deadline of all classes, in microseconds."""
         return max(request_class.deadline for request_class in self.settings.classes)
 
 
 def overlay_bundle(text: bytes, bundle: bytes) -> bytes:
-    """A configuration with the settings of a bundle over its own.
+    """Return a configuration with the settings of a bundle replacing its own.
 
-    A bundle is a JSON object with ``settings``, those that all proxies have alike; a proxy's own stay.
+    A bundle is a JSON object with ``settings`` that all proxies share; settings of one proxy are kept.
 
     Raises:
-        ConfigError: one of the two is not of its form.
+        ConfigError: the configuration or the bundle is invalid.
     """
     if not bundle:
         return text
@@ -100,8 +104,8 @@
     settings = document["settings"]
     if not isinstance(settings, dict):
         raise ConfigError("bundle: not a JSON object with settings and nothing else")
-    if own := sorted(set(OWN_SETTINGS) & set(settings)):
-        raise ConfigError(f"bundle: settings: {own[0]} is each proxy's own")
+    if per_proxy := sorted(set(PER_PROXY_SETTINGS) & set(settings)):
+        raise ConfigError(f"bundle: settings: {per_proxy[0]} is specific to each proxy")
     return settings
 
 
@@ -109,7 +113,7 @@
     """Decode a configuration.
 
     Raises:
-        ConfigError: it is not what it must be.
+        ConfigError: it is invalid.
     """
     try:
         return _decode(json.loads(text))
@@ -124,8 +128,8 @@
         raise DecodeError("configuration: not a JSON object")
     raw_settings = read_object(document, "settings")
     settings = parse_settings(json.dumps(raw_settings).encode())
-    # On the wire LOAD stands for both kinds of report. Where endpoints report loads, it cannot be told that
-    # one is a latency, so the balancer must not wait for such reports.
+    # On the wire, LOAD is used for both kinds of report. Where endpoints report load, a latency report cannot
+    # be told apart, so the balancer must not wait for one.
     reports_latency = settings.reports_latency and not settings.reports_load
     settings = replace(settings, reports_latency=reports_latency)
     classes = read_array(raw_settings, "lanes")
@@ -169,7 +173,7 @@
 
 
 def _positions(entries: list[Any]) -> dict[str, int]:
-    """Positions by name, of names or of objects that have one."""
+    """Return positions by name, for an array of names or of objects with a name."""
     return {
         str(entry.get("name") if isinstance(entry, dict) else entry): position
         for position, entry in enumerate(entries)
@@ -177,7 +181,7 @@
 
 
 def _key_paths(value: Any, prefix: str = "") -> frozenset[str]:
-    """The paths of all keys in a document; in a list of objects, of those that each of them has."""
+    """Return the paths of all keys in a document; in an array of objects, those that all of them have."""
     if isinstance(value, dict):
         paths = {f"{prefix}.{key}" for key, item in value.items() if item is not None}
         inner = (_key_paths(item, f"{prefix}.{key}") for key, item in value.items())
--- a/arrowseam/config/script.py
+++ b/arrowseam/config/script.py
@@ -1,11 +1,11 @@
-"""Evaluates an operator file, a Starlark script, in a process of its own.
+"""Evaluates an operator file, a Starlark script, in a separate process.
 
-A script reaches the functions of ``operator.py``, files beside it by ``load``, and nothing else of the
-machine. It does not run in a proxy's process, since it may run for ever, fill memory or break the stack. The
-process that asks ends it at its deadline; memory is limited here.
+A script can use the functions of ``operator.py`` and ``load`` files in its folder, and nothing else of the
+machine. It does not run in a proxy's process, since it may loop for ever, exhaust memory or overflow the
+stack. The requesting process kills it at its deadline; memory is limited here.
 
-On standard input comes one JSON line, ``{"file":PATH,"classes":[...],"tenants":[...]}``; on standard output
-goes one, ``{"operator":{...}}`` or ``{"error":"one plain line"}``.
+The request is one JSON line on standard input, ``{"file":PATH,"classes":[...],"tenants":[...]}``; the answer
+is one on standard output, ``{"operator":{...}}`` or ``{"error":"a single line"}``.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from arrowseam.config import operator
 from arrowseam.errors import ArrowseamError
 
-DEADLINE_SECONDS = 2.0  # for a script; the process that asks waits a little longer
+DEADLINE_SECONDS = 2.0  # for a script; the requesting process waits a little longer
 MEMORY_BYTES_MAX = 512 << 20  # of address space
 CALL_DEPTH_MAX = 64
 SCRIPT_BYTES_MAX = 1 << 20
@@ -35,36 +35,38 @@
 
 
 class ScriptError(ArrowseamError):
-    """A script that cannot be taken; one plain line that names place and reason."""
+    """A script that is rejected; the message is a single line with place and reason."""
 
 
 class Script:
     """One evaluation of an operator file.
 
-    Errors raised in what Starlark calls are ValueErrors: it shows their text with file and line.
+    Functions that Starlark calls raise ValueError, whose text it reports with file and line.
     """
 
     def __init__(self, path: Path, classes: list[str], tenants: list[str]) -> None:
-        """``classes`` and ``tenants`` are the settings' names."""
+        """``classes`` and ``tenants`` are the names in the settings."""
         self.path, self.classes, self.tenants = path, classes, tenants
         self.servers: list[operator.Servers] = []
-        self.single_calls: dict[str, operator.Struct] = {}  # of functions that are called once at most
+        self.single_calls: dict[str, operator.Struct] = {}  # of functions that may be called only once
         self.loaded: dict[str, Any] = {}
         self.loading: list[str] = []
-        self.options = starlark.EvalOptions(check_cancelled=self._is_late, max_callstack_size=CALL_DEPTH_MAX)
+        self.options = starlark.EvalOptions(
+            check_cancelled=self._is_past_deadline, max_callstack_size=CALL_DEPTH_MAX
+        )
         self.deadline = time.monotonic() + DEADLINE_SECONDS
 
-    def _is_late(self) -> bool:
+    def _is_past_deadline(self) -> bool:
         return time.monotonic() >= self.deadline
 
     def run(self) -> operator.Operator:
-        """All that the script sets up; raises ScriptError."""
+        """Evaluate the script; raises ScriptError."""
         try:
             self._evaluate(self.path, self.path.name)
         except starlark.StarlarkError as error:
             raise ScriptError(error_line(str(error), self.path.name)) from None
         calls = self.single_calls
-        self._check_together()
+        self._check_combination()
         nats, fleet, log, state_dir = (calls.get(name) for name in ("nats", "fleet", "log", "state_dir"))
         return operator.Operator(
             servers=tuple(self.servers),
@@ -75,28 +77,28 @@
             state_dir=state_dir.folder if isinstance(state_dir, operator.StateDir) else "",
         )
 
-    def _check_together(self) -> None:
-        """Whether the calls go with each other."""
+    def _check_combination(self) -> None:
+        """Check that the calls are compatible; raises ScriptError."""
         fleet, agree = self.single_calls.get("fleet"), self.single_calls.get("agree")
         if fleet is None and agree is not None:
             raise ScriptError(f"{self.path.name}: agree: needs fleet(...)")
         if agree is not None and isinstance(fleet, operator.Fleet) and fleet.zones:
-            raise ScriptError(f"{self.path.name}: agree: does not go with zones yet")
+            raise ScriptError(f"{self.path.name}: agree: not supported with zones yet")
         if agree is None and "budgets" in self.single_calls:
             raise ScriptError(f"{self.path.name}: budgets: needs agree(...)")
 
-    def _evaluate(self, path: Path, shown_name: str) -> Any:
-        text = _read_script(path, shown_name)
+    def _evaluate(self, path: Path, display_name: str) -> Any:
+        text = _read_script(path, display_name)
         module = starlark.Module()
         for name in operator.FUNCTIONS:
             module.add_callable(name, self._function(name))
-        tree = starlark.parse(shown_name, text, starlark.Dialect.extended())
+        tree = starlark.parse(display_name, text, starlark.Dialect.extended())
         loader = starlark.FileLoader(self._load)
         starlark.eval_with(self.options, module, tree, starlark.Globals.standard(), file_loader=loader)
         return module.freeze()
 
     def _load(self, name: str) -> Any:
-        """A file beside the operator file; each is evaluated once, and none may load itself in the end."""
+        """Load a file beside the operator file; each is evaluated once, and cyclic loads are rejected."""
         if not FILE_NAME.fullmatch(name):
             raise ValueError(f"load: {name!r} is not the name of a file beside this one")
         if name in self.loading or name == self.path.name:
@@ -149,22 +151,22 @@
         self.servers.append(operator.Servers(**fields | {"file": file, "name": name}))
 
 
-def _read_script(path: Path, shown_name: str) -> str:
+def _read_script(path: Path, display_name: str) -> str:
     try:
         with path.open("rb") as file:
             data = file.read(SCRIPT_BYTES_MAX + 1)
     except OSError as error:
-        raise ScriptError(f"{shown_name}: {error.strerror}") from None
+        raise ScriptError(f"{display_name}: {error.strerror}") from None
     if len(data) > SCRIPT_BYTES_MAX:
-        raise ScriptError(f"{shown_name}: longer than {SCRIPT_BYTES_MAX} bytes")
+        raise ScriptError(f"{display_name}: longer than {SCRIPT_BYTES_MAX} bytes")
     try:
         return data.decode()
     except UnicodeDecodeError as error:
-        raise ScriptError(f"{shown_name}: not UTF-8 at byte {error.start}") from None
+        raise ScriptError(f"{display_name}: not UTF-8 at byte {error.start}") from None
 
 
 def _named_arguments(name: str, positional: tuple[Any, ...], named: dict[str, Any]) -> dict[str, Any]:
-    """Arguments by name; only ``state_dir`` takes its one without."""
+    """Return the arguments by name; only ``state_dir`` accepts its argument by position."""
     if not positional:
         return named
     if name == "state_dir" and not named:
@@ -173,38 +175,38 @@
 
 
 def _source_name(file: str) -> str:
-    """The name of a source that was given none: its file's."""
+    """Return the default name of a source, derived from its file's name."""
     stem = Path(file).stem.lower()
     return re.sub(r"[^a-z0-9_-]", "-", stem)[:SOURCE_NAME_LENGTH_MAX].lstrip("-_")
 
 
-def error_line(text: str, shown_name: str) -> str:
-    """Starlark's error of many lines as one: file, line, reason."""
+def error_line(text: str, display_name: str) -> str:
+    """Condense a multi-line Starlark error to one line: file, line, reason."""
     error = re.search(r"^error: (.*)$", text, re.M)
     location = re.search(r"^ *--> (.+?):(\d+):\d+", text, re.M)
     reason = (error[1] if error else text.strip().splitlines()[-1]).removeprefix("ValueError: ")
     if "Evaluation cancelled" in reason:
         reason = f"has not ended within {DEADLINE_SECONDS:g} s"
-    where = f"{location[1]}:{location[2]}" if location else shown_name
+    where = f"{location[1]}:{location[2]}" if location else display_name
     return f"{where}: {reason}"
 
 
 def answer(line: bytes) -> bytes:
-    """The answer to one line of standard input."""
+    """Return the answer to a request line."""
     request = json.loads(line)
     path = Path(request["file"])
     try:
-        found = Script(path, request["classes"], request["tenants"]).run()
+        result = Script(path, request["classes"], request["tenants"]).run()
     except ScriptError as error:
         return json.dumps({"error": str(error)}).encode() + b"\n"
     except MemoryError:
         return json.dumps({"error": f"{path.name}: takes too much memory"}).encode() + b"\n"
-    return b'{"operator":' + operator.encode(found) + b"}\n"
+    return b'{"operator":' + operator.encode(result) + b"}\n"
 
 
 def main() -> None:
-    """Answer the one line of standard input."""
-    for number in (signal.SIGINT, signal.SIGHUP):  # to the whole process group: they are for the proxy
+    """Answer the request on standard input."""
+    for number in (signal.SIGINT, signal.SIGHUP):  # sent to the process group, but meant for the proxy
         signal.signal(number, signal.SIG_IGN)
     resource.setrlimit(resource.RLIMIT_AS, (MEMORY_BYTES_MAX, MEMORY_BYTES_MAX))
     resource.setrlimit(resource.RLIMIT_CORE, (0, 0))
--- a/arrowseam/endpoint_sources/validation.py
+++ b/arrowseam/endpoint_sources/validation.py
@@ -90,16 +90,16 @@
 
 def _without_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     """Reject duplicate keys, of which the decoder alone would silently use the last value."""
-    found = dict(pairs)
-    if len(found) < len(pairs):
+    fields = dict(pairs)
+    if len(fields) < len(pairs):
         seen: set[str] = set()
         for key, _ in pairs:
             if key in seen:
-                name = found.get("instanceId")
+                name = fields.get("instanceId")
                 where = f" in the row of {_quoted(name)}" if isinstance(name, str) else ""
                 raise ListRejectedError("twice-key", f"duplicate key {_quoted(repr(key))}{where}")
             seen.add(key)
-    return found
+    return fields
 
 
 def _reject_constant(text: str) -> NoReturn:
@@ -117,12 +117,12 @@
     """Parse a file's content; raises ListRejectedError."""
     document = _decode_json(data)
     try:
-        found = msgspec.convert(document, _List)
+        decoded = msgspec.convert(document, _List)
     except msgspec.ValidationError as error:
         raise ListRejectedError("form", _located(str(error), document)) from None
-    if not found.is_complete:
+    if not decoded.is_complete:
         raise ListRejectedError("form", "reset: must be true, since a file holds the complete list")
-    return ValidList(found.generation, _checked_records(found.rows))
+    return ValidList(decoded.generation, _checked_records(decoded.rows))
 
 
 def _decode_json(data: bytes) -> Any:
