--- a/tests/test_endpoint_source_rules.py
+++ b/tests/test_endpoint_source_rules.py
@@ -1,4 +1,4 @@
-"""The pure rules of servers from files: what a good list is, and several sources into one list."""
+"""The rules of endpoint sources, without I/O: validation of lists, snapshots, and merging of sources."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from arrowseam.endpoint_sources.traffic import traffic_shares, traffic_shift
 
 MS, SECOND = 1_000, 1_000_000
-KATY = "feed.katy.example.org"
+ENDPOINT = "feed.katy.example.org"
 
 
-def row(name: str = KATY, port: int = 5000, **fields: Any) -> dict[str, Any]:
+def row(name: str = ENDPOINT, port: int = 5000, **fields: Any) -> dict[str, Any]:
     return {"instanceId": name, "hostPort": f"10.1.0.1:{port}", "zone": "katy"} | fields
 
 
-def text(*rows: dict[str, Any], **fields: Any) -> bytes:
+def encode_list(*rows: dict[str, Any], **fields: Any) -> bytes:
     return json.dumps({"instances": list(rows)} | fields).encode()
 
 
-def member(name: str, weight: float = 1.0, state: str = READY, address: str = "") -> EndpointRecord:
+def create_record(name: str, weight: float = 1.0, state: str = READY, address: str = "") -> EndpointRecord:
     return EndpointRecord(
         name,
         address or f"10.1.0.1:{int.from_bytes(name.encode(), 'big') % 65521 + 1}",
@@ -43,72 +43,78 @@
     )
 
 
-GOOD = text(row(), row("s2", 5001, weight=2.5, lifecycle="Terminating", startedAtMs=1e12), generation=4)
+VALID = encode_list(
+    row(), row("s2", 5001, weight=2.5, lifecycle="Terminating", startedAtMs=1e12), generation=4
+)
 
 
-def test_a_good_list_is_read_whole():
-    found = validation.parse(GOOD)
-    assert found.generation == 4
-    assert found.records[KATY] == EndpointRecord(KATY, "10.1.0.1:5000", "katy")
-    assert found.records["s2"] == EndpointRecord("s2", "10.1.0.1:5001", "katy", "", 0, DRAINING, 2.5, 1e12)
+def test_a_valid_list_is_read_completely():
+    parsed = validation.parse(VALID)
+    assert parsed.generation == 4
+    assert parsed.records[ENDPOINT] == EndpointRecord(ENDPOINT, "10.1.0.1:5000", "katy")
+    assert parsed.records["s2"] == EndpointRecord("s2", "10.1.0.1:5001", "katy", "", 0, DRAINING, 2.5, 1e12)
 
 
-def test_a_list_cut_at_any_byte_is_refused():
-    """A file is read while it is written. However much of it is there, a part must not be taken for the
-    list.
+def test_a_list_truncated_at_any_byte_is_rejected():
+    """A file is read while it is written. Wherever the part that is there ends, it must not be accepted as
+    a list.
     """
-    for size in range(len(GOOD)):
-        with pytest.raises(validation.ListRejectedError) as caught:
-            validation.parse(GOOD[:size])
-        assert caught.value.reason in ("json", "empty-file")
+    for size in range(len(VALID)):
+        with pytest.raises(validation.ListRejectedError) as rejection:
+            validation.parse(VALID[:size])
+        assert rejection.value.reason in ("json", "empty-file")
 
 
 @pytest.mark.parametrize(
-    ("data", "reason", "words"),
+    ("data", "reason", "expected_text"),
     [
-        (b"\xff" + GOOD, "encoding", "byte 0"),
+        (b"\xff" + VALID, "encoding", "byte 0"),
         (b" \n", "empty-file", "empty"),
         (b"[" * 100_000, "json", "brackets"),
         (b'{"instances":[],"instances":[]}', "twice-key", "instances"),
-        (GOOD.replace(b'"zone"', b'"hostPort"', 1), "twice-key", KATY),
-        (GOOD + b"x", "json", "Extra data"),
-        (text(row(weight=float("nan"))), "json", "NaN"),
+        (VALID.replace(b'"zone"', b'"hostPort"', 1), "twice-key", ENDPOINT),
+        (VALID + b"x", "json", "Extra data"),
+        (encode_list(row(weight=float("nan"))), "json", "NaN"),
         (b'{"generation":' + b"9" * 5000 + b"}", "json", "digits"),
         (b"[]", "form", "object"),
         (b"{}", "form", "instances"),
-        (text(row(), reset=False), "form", "reset"),
-        (text(row(), generation="7"), "form", "generation"),
-        (text(row(), instance=[]), "form", "instance"),
-        (text(row(wieght=3)), "form", "instances[0] (feed.katy.example.org)"),
-        (text(row(weight="3")), "form", "weight"),
-        (text(row(weight=True)), "form", "weight"),
-        (text({"instanceId": "a", "hostPort": "10.0.0.1:1"}), "form", "zone"),
-        (text(row("a b")), "form", "instanceId"),
-        (text(row(), row(port=5001)), "twice-server", KATY),
-        (text(row(), row("other")), "twice-address", KATY),
-        (text(row("a", hostPort="[::1]:5"), row("b", hostPort="[0:0::1]:5")), "twice-address", "used by a"),
-        (text(row(hostPort="feed.katy.example.org:5000")), "address", "instances[0]"),
-        (text(row(hostPort="10.0.0.1")), "address", "HOST:PORT"),
-        (text(row(hostPort="10.0.0.1:0")), "address", "port"),
-        (text(row(weight=0)), "weight", "0"),
-        (text(row(weight=-1)), "weight", "-1"),
-        (text(row(weight=1e7)), "weight", "1e+07"),
-        (text(row()).replace(b'"zone"', b'"weight":1e999,"zone"'), "weight", "inf"),
-        (text(row(lifecycle="Gone")), "lifecycle", "Gone"),
-        (text(row(lifecycle="ready")), "lifecycle", "ready"),
+        (encode_list(row(), reset=False), "form", "reset"),
+        (encode_list(row(), generation="7"), "form", "generation"),
+        (encode_list(row(), instance=[]), "form", "instance"),
+        (encode_list(row(wieght=3)), "form", "instances[0] (feed.katy.example.org)"),
+        (encode_list(row(weight="3")), "form", "weight"),
+        (encode_list(row(weight=True)), "form", "weight"),
+        (encode_list({"instanceId": "a", "hostPort": "10.0.0.1:1"}), "form", "zone"),
+        (encode_list(row("a b")), "form", "instanceId"),
+        (encode_list(row(), row(port=5001)), "twice-server", ENDPOINT),
+        (encode_list(row(), row("other")), "twice-address", ENDPOINT),
+        (
+            encode_list(row("a", hostPort="[::1]:5"), row("b", hostPort="[0:0::1]:5")),
+            "twice-address",
+            "used by a",
+        ),
+        (encode_list(row(hostPort="feed.katy.example.org:5000")), "address", "instances[0]"),
+        (encode_list(row(hostPort="10.0.0.1")), "address", "HOST:PORT"),
+        (encode_list(row(hostPort="10.0.0.1:0")), "address", "port"),
+        (encode_list(row(weight=0)), "weight", "0"),
+        (encode_list(row(weight=-1)), "weight", "-1"),
+        (encode_list(row(weight=1e7)), "weight", "1e+07"),
+        (encode_list(row()).replace(b'"zone"', b'"weight":1e999,"zone"'), "weight", "inf"),
+        (encode_list(row(lifecycle="Gone")), "lifecycle", "Gone"),
+        (encode_list(row(lifecycle="ready")), "lifecycle", "ready"),
     ],
 )
-def test_a_malformed_list_is_refused_with_its_place(data: bytes, reason: str, words: str):
-    with pytest.raises(validation.ListRejectedError) as caught:
+def test_a_malformed_list_is_rejected_with_the_place(data: bytes, reason: str, expected_text: str):
+    with pytest.raises(validation.ListRejectedError) as rejection:
         validation.parse(data)
-    assert caught.value.reason == reason
+    assert rejection.value.reason == reason
     assert reason in validation.REASONS
-    assert words in str(caught.value)
-    assert "\n" not in str(caught.value)
-    assert len(str(caught.value)) < 400
+    assert expected_text in str(rejection.value)
+    assert "\n" not in str(rejection.value)
+    assert len(str(rejection.value)) < 400
 
 
-HELD = {name: member(name, weight) for name, weight in (("a", 2.0), ("b", 1.0), ("c", 1.0))}
+CURRENT = {name: create_record(name, weight) for name, weight in (("a", 2.0), ("b", 1.0), ("c", 1.0))}
 
 
 @pytest.mark.parametrize(
@@ -117,38 +123,48 @@
         ({}, 5, "no-servers"),
         ({"b": READY}, 5, "removes-too-much"),
         ({"a": DRAINING, "b": READY, "c": DRAINING}, 5, "removes-too-much"),
-        ({"a": READY}, 5, None),  # just half
+        ({"a": READY}, 5, None),  # exactly half
         ({"a": READY, "b": READY, "c": DRAINING}, None, None),
         ({"a": READY, "b": READY, "c": READY}, 4, None),
         ({"a": READY, "b": READY, "c": READY}, 3, "generation"),
     ],
 )
-def test_a_list_is_compared_with_the_last_good_one(kept, generation, reason):
-    new = validation.ValidList(generation, {n: HELD[n]._replace(state=s) for n, s in kept.items()})
+def test_a_list_is_compared_with_the_last_valid_one(kept, generation, reason):
+    new = validation.ValidList(
+        generation, {name: CURRENT[name]._replace(state=state) for name, state in kept.items()}
+    )
     if reason is None:
-        delta = validation.compare(new, HELD, 4, 0.5)
-        assert set(delta.removed) == HELD.keys() - kept.keys()
-        assert {m.name for m in delta.changed} == {n for n, s in kept.items() if s != READY}
+        delta = validation.compare(new, CURRENT, 4, 0.5)
+        assert set(delta.removed) == CURRENT.keys() - kept.keys()
+        assert {record.name for record in delta.changed} == {
+            name for name, state in kept.items() if state != READY
+        }
         return
-    with pytest.raises(validation.ListRejectedError) as caught:
-        validation.compare(new, HELD, 4, 0.5)
-    assert caught.value.reason == reason
-    if reason == "generation":  # allowed by hand is a large removal and nothing else
+    with pytest.raises(validation.ListRejectedError) as rejection:
+        validation.compare(new, CURRENT, 4, 0.5)
+    assert rejection.value.reason == reason
+    if reason == "generation":  # the operator can allow a large removal and nothing else
         with pytest.raises(validation.ListRejectedError):
-            validation.compare(new, HELD, 4, 0.5, allow=True)
+            validation.compare(new, CURRENT, 4, 0.5, allow=True)
     else:
-        assert set(validation.compare(new, HELD, 4, 0.5, allow=True).removed) == HELD.keys() - kept.keys()
+        assert (
+            set(validation.compare(new, CURRENT, 4, 0.5, allow=True).removed) == CURRENT.keys() - kept.keys()
+        )
 
 
-def test_shares_are_the_modules_and_a_change_tells_what_shifts():
-    zones = {"a": member("a"), "b": member("b")._replace(zone="y"), "c": member("c", 2.0)._replace(zone="y")}
-    assert traffic_shares(zones) == pytest.approx({"a": 0.25, "b": 0.25, "c": 0.5})
-    assert traffic_shift(zones, zones) == 0.0
-    assert traffic_shift(zones, {n: zones[n] for n in "ab"}) == pytest.approx(0.5)
-    assert traffic_shift(zones, {}) == 1.0
+def test_shares_follow_the_balancer_and_a_change_shifts_traffic():
+    records = {
+        "a": create_record("a"),
+        "b": create_record("b")._replace(zone="y"),
+        "c": create_record("c", 2.0)._replace(zone="y"),
+    }
+    assert traffic_shares(records) == pytest.approx({"a": 0.25, "b": 0.25, "c": 0.5})
+    assert traffic_shift(records, records) == 0.0
+    assert traffic_shift(records, {name: records[name] for name in "ab"}) == pytest.approx(0.5)
+    assert traffic_shift(records, {}) == 1.0
 
 
-# --- the snapshot's form ---------------------------------------------------------------------------------
+# --- snapshots -------------------------------------------------------------------------------------------
 
 
 def snapshot_error(data: bytes) -> str | None:
@@ -159,17 +175,20 @@
     return None
 
 
-def test_a_snapshot_damaged_anywhere_is_refused():
-    """A disk has damaged a snapshot, or a crash has cut it. It must be rejected, wherever the damage is."""
-    data = snapshots.encode("s", 4, 99, HELD)
-    found = snapshots.decode(data, "s")
-    assert (found.generation, found.taken_at_ms, found.records) == (4, 99, HELD)
-    for at in range(len(data)):
-        for damaged in (data[:at], data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]):
+def test_a_snapshot_damaged_anywhere_is_rejected():
+    """A disk has corrupted a snapshot, or a crash has truncated it. It must be rejected, wherever that is."""
+    data = snapshots.encode("s", 4, 99, CURRENT)
+    snapshot = snapshots.decode(data, "s")
+    assert (snapshot.generation, snapshot.taken_at_ms, snapshot.records) == (4, 99, CURRENT)
+    for position in range(len(data)):
+        for damaged in (
+            data[:position],
+            data[:position] + bytes([data[position] ^ 1]) + data[position + 1 :],
+        ):
             error = snapshot_error(damaged)
-            if error is None:  # a number of the header, which is not part of the list
-                assert snapshots.decode(damaged, "s").records == HELD
-                assert at < data.index(b"\n")
+            if error is None:  # a number in the header, which the checksum does not cover
+                assert snapshots.decode(damaged, "s").records == CURRENT
+                assert position < data.index(b"\n")
             else:
                 assert "\n" not in error
     with pytest.raises(snapshots.SnapshotError, match="version 2"):
@@ -181,137 +200,139 @@
 # --- several sources ------------------------------------------------------------------------------------
 
 
-def merged(*specs: SourceSettings) -> MergedEndpointList:
-    found = MergedEndpointList()
-    found.configure(specs or (SourceSettings(DISCOVERY_SOURCE), FILE, OTHER))
-    return found
+def create_list(*settings: SourceSettings) -> MergedEndpointList:
+    merged = MergedEndpointList()
+    merged.configure(settings or (SourceSettings(DISCOVERY_SOURCE), FILE, OTHER))
+    return merged
 
 
 FILE, OTHER = SourceSettings("f", 10, 500 * MS, 5 * SECOND), SourceSettings("g", 10, 500 * MS, 5 * SECOND)
 
 
-def states(members: list[EndpointRecord]) -> dict[str, str]:
-    return {m.name: m.state for m in members}
-
-
-def test_rank_decides_the_row_and_any_source_may_drain_it():
-    r = merged()
-    r.report_list(DISCOVERY_SOURCE, [member("a", 1.0)], 0)
-    r.report_list("f", [member("a", 7.0)], 0)
-    assert [m.weight for m in r.take_changes(0)] == [7.0]
-    r.report_list(DISCOVERY_SOURCE, [member("a", 1.0, DRAINING)], 1)
-    assert [(m.weight, m.state) for m in r.take_changes(1)] == [(7.0, DRAINING)]
-    r.report_list(DISCOVERY_SOURCE, [], 2)  # the file still names it
-    assert states(r.take_changes(2)) == {"a": READY}
-    r.report_list("f", [], 3)
-    assert not r.take_changes(3)
-    assert r.next_change_at() == 3 + FILE.settle
-
-
-def test_a_removed_server_settles_drains_and_is_gone():
-    r = merged()
-    r.report_list("f", [member("a"), member("b")], 0)
-    r.take_changes(0)
-    r.report_list("f", [member("b")], 10)
-    assert not r.take_changes(10)
-    assert states(r.take_changes(10 + FILE.settle)) == {"a": DRAINING}
-    assert r.show("a").state == "leaving"
-    assert not r.take_changes(9 + FILE.settle + FILE.drain)
-    assert states(r.take_changes(10 + FILE.settle + FILE.drain)) == {"a": REMOVED}
-    assert r.published.keys() == {"b"}
-    assert not r.departures
-    assert not r._timers
-
-
-def test_a_server_that_wanders_to_another_file_neither_drains_nor_counts_twice():
+def states(records: list[EndpointRecord]) -> dict[str, str]:
+    return {record.name: record.state for record in records}
+
+
+def test_the_highest_rank_wins_and_any_source_may_drain_an_endpoint():
+    merged = create_list()
+    merged.report_list(DISCOVERY_SOURCE, [create_record("a", 1.0)], 0)
+    merged.report_list("f", [create_record("a", 7.0)], 0)
+    assert [record.weight for record in merged.take_changes(0)] == [7.0]
+    merged.report_list(DISCOVERY_SOURCE, [create_record("a", 1.0, DRAINING)], 1)
+    assert [(record.weight, record.state) for record in merged.take_changes(1)] == [(7.0, DRAINING)]
+    merged.report_list(DISCOVERY_SOURCE, [], 2)  # the file still names it
+    assert states(merged.take_changes(2)) == {"a": READY}
+    merged.report_list("f", [], 3)
+    assert not merged.take_changes(3)
+    assert merged.next_change_at() == 3 + FILE.settle
+
+
+def test_a_removed_endpoint_settles_drains_and_is_gone():
+    merged = create_list()
+    merged.report_list("f", [create_record("a"), create_record("b")], 0)
+    merged.take_changes(0)
+    merged.report_list("f", [create_record("b")], 10)
+    assert not merged.take_changes(10)
+    assert states(merged.take_changes(10 + FILE.settle)) == {"a": DRAINING}
+    assert merged.show("a").state == "leaving"
+    assert not merged.take_changes(9 + FILE.settle + FILE.drain)
+    assert states(merged.take_changes(10 + FILE.settle + FILE.drain)) == {"a": REMOVED}
+    assert merged.published.keys() == {"b"}
+    assert not merged.departures
+    assert not merged._timers
+
+
+def test_an_endpoint_moved_to_another_file_neither_drains_nor_counts_twice():
     """An endpoint is taken out of one file and written into another a moment later. It must neither drain
     in between nor count twice.
     """
-    r = merged()
-    r.report_list("f", [member("a"), member("b")], 0)
-    r.take_changes(0)
-    r.report_list("f", [member("b")], 10)
-    assert not r.take_changes(10)
-    r.report_list("g", [member("a", 3.0)], 10 + FILE.settle - 1)
-    assert [(m.name, m.state, m.weight) for m in r.take_changes(10 + FILE.settle)] == [("a", READY, 3.0)]
-    assert not r.departures
-    assert not r.take_changes(SECOND * 100)
-
-
-def test_what_the_discovery_alone_named_is_gone_at_once():
-    r = merged()
-    r.report_list(DISCOVERY_SOURCE, [member("a")], 0)
-    r.take_changes(0)
-    r.report_change(DISCOVERY_SOURCE, {}, ["a"], 5)
-    assert states(r.take_changes(5)) == {"a": REMOVED}
+    merged = create_list()
+    merged.report_list("f", [create_record("a"), create_record("b")], 0)
+    merged.take_changes(0)
+    merged.report_list("f", [create_record("b")], 10)
+    assert not merged.take_changes(10)
+    merged.report_list("g", [create_record("a", 3.0)], 10 + FILE.settle - 1)
+    assert [
+        (record.name, record.state, record.weight) for record in merged.take_changes(10 + FILE.settle)
+    ] == [("a", READY, 3.0)]
+    assert not merged.departures
+    assert not merged.take_changes(SECOND * 100)
+
+
+def test_an_endpoint_that_only_discovery_named_is_removed_at_once():
+    merged = create_list()
+    merged.report_list(DISCOVERY_SOURCE, [create_record("a")], 0)
+    merged.take_changes(0)
+    merged.report_change(DISCOVERY_SOURCE, {}, ["a"], 5)
+    assert states(merged.take_changes(5)) == {"a": REMOVED}
 
 
 def test_one_address_under_two_names_counts_once():
-    """A machine was renamed and for a while has both names in the list. It must not get two shares."""
-    r = merged()
-    r.report_list(DISCOVERY_SOURCE, [member("a", address="10.0.0.1:1")], 0)
-    r.take_changes(0)
-    r.report_list("f", [member("x", address="10.0.0.1:1")], 1)
-    r.take_changes(1)
-    told = {m.name: m.state for m in r.published.values()}
-    assert told == {"x": READY}  # discovery's name for it has gone
-    r.report_list("f", [member("y")], 2)
-    assert states(r.take_changes(2)) == {"y": READY, "a": READY}
-    assert states(r.take_changes(2 + FILE.settle)) == {"x": DRAINING}
-
-
-def test_a_source_that_is_dropped_stays_until_the_new_one_has_told():
+    """A machine was renamed and is listed under both names for a while. It must not get two shares."""
+    merged = create_list()
+    merged.report_list(DISCOVERY_SOURCE, [create_record("a", address="10.0.0.1:1")], 0)
+    merged.take_changes(0)
+    merged.report_list("f", [create_record("x", address="10.0.0.1:1")], 1)
+    merged.take_changes(1)
+    published_states = {record.name: record.state for record in merged.published.values()}
+    assert published_states == {"x": READY}  # the name that only discovery gives is removed
+    merged.report_list("f", [create_record("y")], 2)
+    assert states(merged.take_changes(2)) == {"y": READY, "a": READY}
+    assert states(merged.take_changes(2 + FILE.settle)) == {"x": DRAINING}
+
+
+def test_a_retired_source_stays_until_the_new_one_has_reported():
     """A file is renamed in the operator file, and the new one is invalid at first. The endpoints of the old
     one must stay until the new one is valid.
     """
-    r = merged(FILE)
-    r.report_list("f", [member("a")], 0)
-    r.take_changes(0)
-    assert r.configure([OTHER]) == ["g"]
-    assert "f" in r.retiring
-    r.report_rejection("g", "json", "line 1", 2)
-    assert not r.take_changes(SECOND * 9)
-    r.report_list("g", [member("a"), member("b")], 3)
-    assert states(r.take_changes(3)) == {"b": READY}
-    assert r.is_retired("f")
-
-
-def test_the_list_at_the_start_stands_in_for_files_that_have_not_told():
-    r = MergedEndpointList()
-    r.configure([SourceSettings(INITIAL_SOURCE, -1, 0, SECOND)])
-    r.report_list(INITIAL_SOURCE, [member("a"), member("b")], 0)
-    r.configure([FILE])
-    assert states(r.take_changes(0)) == {"a": READY, "b": READY}
-    r.report_list("f", [member("a")], 1)
-    assert states(r.take_changes(1)) == {"b": DRAINING}
-
-
-def test_those_that_leave_are_told_first_and_in_parts():
-    r = merged(FILE._replace(settle=0))
-    r.report_list("f", [member(f"s{n}") for n in range(100)], 0)
-    told = 0
-    while r.has_changes:
-        told += len(r.take_changes(0, 30))
-    assert told == 100
-    r.report_list("f", [member(f"s{n}", 2.0) for n in range(1, 98)], 1)
-    first = r.take_changes(1, 10)
+    merged = create_list(FILE)
+    merged.report_list("f", [create_record("a")], 0)
+    merged.take_changes(0)
+    assert merged.configure([OTHER]) == ["g"]
+    assert "f" in merged.retiring
+    merged.report_rejection("g", "json", "line 1", 2)
+    assert not merged.take_changes(SECOND * 9)
+    merged.report_list("g", [create_record("a"), create_record("b")], 3)
+    assert states(merged.take_changes(3)) == {"b": READY}
+    assert merged.is_retired("f")
+
+
+def test_the_initial_list_is_in_force_until_a_file_is_read():
+    merged = MergedEndpointList()
+    merged.configure([SourceSettings(INITIAL_SOURCE, -1, 0, SECOND)])
+    merged.report_list(INITIAL_SOURCE, [create_record("a"), create_record("b")], 0)
+    merged.configure([FILE])
+    assert states(merged.take_changes(0)) == {"a": READY, "b": READY}
+    merged.report_list("f", [create_record("a")], 1)
+    assert states(merged.take_changes(1)) == {"b": DRAINING}
+
+
+def test_departing_endpoints_are_published_first_and_in_batches():
+    merged = create_list(FILE._replace(settle=0))
+    merged.report_list("f", [create_record(f"s{n}") for n in range(100)], 0)
+    published_count = 0
+    while merged.has_changes:
+        published_count += len(merged.take_changes(0, 30))
+    assert published_count == 100
+    merged.report_list("f", [create_record(f"s{n}", 2.0) for n in range(1, 98)], 1)
+    first = merged.take_changes(1, 10)
     assert states(first[:3]) == {"s0": DRAINING, "s98": DRAINING, "s99": DRAINING}
-    assert r.has_changes
+    assert merged.has_changes
 
 
-def test_a_new_process_goes_on_from_what_is_handed_over():
-    r = merged(FILE)
-    r.report_list("f", [member("a"), member("b")], 0, generation=3, taken_at_ms=77)
-    r.take_changes(0)
-    r.report_list("f", [member("b")], 1, generation=4, taken_at_ms=78)
-    r.take_changes(1)
-    r.take_changes(1 + FILE.settle)
-    state = json.loads(json.dumps(r.export_state(2 + FILE.settle)))
-    new = merged(FILE)
-    new.import_state(state, 1000)
-    assert states(new.take_changes(1000)) == {"a": DRAINING, "b": READY}
-    assert (new.sources["f"].generation, new.sources["f"].taken_at_ms) == (4, 78)
-    assert states(new.take_changes(1000 + FILE.drain)) == {"a": REMOVED}
+def test_a_new_process_continues_from_the_handed_over_state():
+    merged = create_list(FILE)
+    merged.report_list("f", [create_record("a"), create_record("b")], 0, generation=3, taken_at_ms=77)
+    merged.take_changes(0)
+    merged.report_list("f", [create_record("b")], 1, generation=4, taken_at_ms=78)
+    merged.take_changes(1)
+    merged.take_changes(1 + FILE.settle)
+    state = json.loads(json.dumps(merged.export_state(2 + FILE.settle)))
+    successor = create_list(FILE)
+    successor.import_state(state, 1000)
+    assert states(successor.take_changes(1000)) == {"a": DRAINING, "b": READY}
+    assert (successor.sources["f"].generation, successor.sources["f"].taken_at_ms) == (4, 78)
+    assert states(successor.take_changes(1000 + FILE.drain)) == {"a": REMOVED}
 
 
 NAMES = st.sampled_from("abcde")
@@ -327,41 +348,47 @@
 
 
 @given(STEPS)
-def test_whatever_sources_say_the_module_ends_with_what_they_name(steps):
-    """Told in parts of any size: no address twice, none ready that a source drains, all at the end."""
-    r, now, seen = merged(), 0, {}
+def test_the_merged_list_converges_to_what_the_sources_name(steps):
+    """Changes are taken in batches of any size. In the end no address may be published twice, no endpoint be
+    ready that a source drains, and none be missing.
+    """
+    merged, now, published = create_list(), 0, {}
     lists: dict[str, dict[str, EndpointRecord]] = {DISCOVERY_SOURCE: {}, "f": {}, "g": {}}
 
-    def heed(found: list[EndpointRecord]) -> None:
-        for m in found:
-            assert m.state != seen.get(m.name, m._replace(state="")).state or m != seen[m.name]
-            seen[m.name] = m
-            if m.state == REMOVED:
-                del seen[m.name]
-        assert seen == r.published
-
-    for source, rows, wait, most in steps:
+    def apply(changes: list[EndpointRecord]) -> None:
+        for record in changes:
+            assert (
+                record.state != published.get(record.name, record._replace(state="")).state
+                or record != published[record.name]
+            )
+            published[record.name] = record
+            if record.state == REMOVED:
+                del published[record.name]
+        assert published == merged.published
+
+    for source, rows, delay, limit in steps:
         lists[source] = {
-            n: member(n, weight, state, f"10.0.0.1:{port}") for n, (weight, state, port) in rows.items()
+            name: create_record(name, weight, state, f"10.0.0.1:{port}")
+            for name, (weight, state, port) in rows.items()
         }
-        r.report_list(source, lists[source].values(), now)
-        heed(r.take_changes(now, most))
-        now += wait
+        merged.report_list(source, lists[source].values(), now)
+        apply(merged.take_changes(now, limit))
+        now += delay
     for _ in range(3):
-        while r.has_changes or (r.next_change_at() is not None and r.next_change_at() <= now):
-            heed(r.take_changes(now, 3))
+        while merged.has_changes or (merged.next_change_at() is not None and merged.next_change_at() <= now):
+            apply(merged.take_changes(now, 3))
         now += 100 * SECOND
-    named = {n for rows in lists.values() for n in rows}
-    assert seen.keys() <= named
-    ready = [m for m in seen.values() if m.state == READY]
-    assert len({m.address for m in ready}) == len(ready)
+    named = {name for rows in lists.values() for name in rows}
+    assert published.keys() <= named
+    ready = [record for record in published.values() if record.state == READY]
+    assert len({record.address for record in ready}) == len(ready)
     addresses = set()
     for name in named:
-        ranked = [lists[s][name] for s in ("f", "g", DISCOVERY_SOURCE) if name in lists[s]]
+        ranked = [lists[source][name] for source in ("f", "g", DISCOVERY_SOURCE) if name in lists[source]]
         addresses.add(ranked[0].address)
-        if name in seen:
-            assert seen[name].weight == ranked[0].weight
-            assert (seen[name].state == READY) == all(m.state == READY for m in ranked)
-    assert {m.address for m in seen.values()} == addresses  # each machine counts, once
-    assert not r.departures
-    assert not r._timers
+        if name in published:
+            assert published[name].weight == ranked[0].weight
+            assert (published[name].state == READY) == all(record.state == READY for record in ranked)
+    assert {record.address for record in published.values()} == addresses  # each machine is published once
+    assert not merged.departures
+    assert not merged._timers
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: what it sets up, what is refused and where, and scripts that would hold up a proxy."""
+"""The operator file: its functions, the errors for invalid ones, and scripts that would block a proxy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from arrowseam.net.task import Coroutine
 from arrowseam.workers.script import evaluate, evaluate_in_background
 
-GOOD = """
+VALID_SCRIPT = """
 load("names.star", "NAMES")
 
 def files(names, **more):
@@ -37,29 +37,29 @@
 """
 
 
-def run(folder: Path, text: str, **files: str) -> Any:
+def run_script(folder: Path, text: str, **loaded_files: str) -> Any:
     (folder / "op.star").write_text(text)
-    for name, more in files.items():
-        (folder / f"{name}.star").write_text(more)
+    for name, loaded_text in loaded_files.items():
+        (folder / f"{name}.star").write_text(loaded_text)
     return Script(folder / "op.star", ["tech"], ["acme"]).run()
 
 
-def test_a_script_sets_up_what_it_says(tmp_path: Path):
-    found = run(tmp_path, GOOD, names='NAMES = ["east", "west"]')
-    assert [(s.name, s.rank, s.max_removed) for s in found.servers] == [
+def test_the_calls_of_a_script_are_returned(tmp_path: Path):
+    operator = run_script(tmp_path, VALID_SCRIPT, names='NAMES = ["east", "west"]')
+    assert [(source.name, source.rank, source.max_removed) for source in operator.servers] == [
         ("east", 10, 0.25),
         ("west", 11, 0.25),
     ]
-    assert found.servers[0].file == str(tmp_path / "east.json")
-    assert found.nats is not None
-    assert found.nats.users["t"].class_name == "tech"
-    assert (found.log.format, found.log.level) == ("json", "info")
-    assert found.state_dir == str(tmp_path / "state")
-    assert run(tmp_path, "").servers == ()
+    assert operator.servers[0].file == str(tmp_path / "east.json")
+    assert operator.nats is not None
+    assert operator.nats.users["t"].class_name == "tech"
+    assert (operator.log.format, operator.log.level) == ("json", "info")
+    assert operator.state_dir == str(tmp_path / "state")
+    assert run_script(tmp_path, "").servers == ()
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected_text"),
     [
         ("servers(", "op.star:1"),
         ("\nservers(file=x)", "op.star:2: Variable `x` not found"),
@@ -94,21 +94,25 @@
         ("open('/etc/passwd')", "Variable `open` not found"),
     ],
 )
-def test_what_is_refused_names_file_line_and_field(tmp_path: Path, text: str, words: str):
-    with pytest.raises(ScriptError) as caught:
-        run(tmp_path, text, a="load('a2.star', 'x')", a2="load('a.star', 'x')", b="x = 1\nservers(file=1)")
-    assert words in str(caught.value)
-    assert "\n" not in str(caught.value)
-
-
-def config() -> Any:
+def test_an_invalid_script_is_rejected_with_file_line_and_field(
+    tmp_path: Path, text: str, expected_text: str
+):
+    with pytest.raises(ScriptError) as rejection:
+        run_script(
+            tmp_path, text, a="load('a2.star', 'x')", a2="load('a.star', 'x')", b="x = 1\nservers(file=1)"
+        )
+    assert expected_text in str(rejection.value)
+    assert "\n" not in str(rejection.value)
+
+
+def create_config() -> Any:
     w = World("lines")
     w.close()
     return w.config
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "expected_text"),
     [
         ("def f():\n  for i in range(2000000000):\n    pass\nf()", "has not ended within 2 s"),
         ("def f():\n  x = 'a'\n  for i in range(60):\n    x = x + x\nf()", "its evaluation"),
@@ -117,32 +121,34 @@
     ],
     ids=["endless", "memory doubled", "memory in pieces", "nested"],
 )
-def test_a_script_without_end_ends_in_a_line(tmp_path: Path, text: str, words: str):
-    """And holds up no proxy: the same asked on a loop, which goes on meanwhile."""
-    file, began = tmp_path / "op.star", time.monotonic()
+def test_a_runaway_script_ends_with_a_one_line_error(tmp_path: Path, text: str, expected_text: str):
+    """A script loops for ever, exhausts memory or overflows the parser. It must be ended with an error, and a
+    proxy must go on serving while it is evaluated.
+    """
+    file, started_at = tmp_path / "op.star", time.monotonic()
     file.write_text(text)
-    with pytest.raises(ConfigError) as caught:
-        evaluate(str(file), config())
-    assert words in str(caught.value)
-    assert "\n" not in str(caught.value)
-    assert time.monotonic() - began < 8
-    w, answers = World("lines", "up"), []
-
-    def ask() -> Coroutine[None]:
+    with pytest.raises(ConfigError) as rejection:
+        evaluate(str(file), create_config())
+    assert expected_text in str(rejection.value)
+    assert "\n" not in str(rejection.value)
+    assert time.monotonic() - started_at < 8
+    w, errors = World("lines", "up"), []
+
+    def evaluate_script() -> Coroutine[None]:
         try:
             yield from evaluate_in_background(w.loop, str(file), w.config)
         except ConfigError as error:
-            answers.append(str(error))
+            errors.append(str(error))
 
-    w.loop.start_task(ask(), "ask")
-    served = w.up(3)
-    w.until(lambda: answers, 8)
-    assert words in answers[0]
-    assert all(not c.ended_at for c in served)
+    w.loop.start_task(evaluate_script(), "ask")
+    clients = w.up(3)
+    w.until(lambda: errors, 8)
+    assert expected_text in errors[0]
+    assert all(not c.ended_at for c in clients)
     w.close()
 
 
-def write(tmp_path: Path, text: str, **changes: Any) -> tuple[str, str]:
+def write_files(tmp_path: Path, text: str, **changes: Any) -> tuple[str, str]:
     w = World("lines", "up")
     w.close()
     (tmp_path / "config.json").write_text(json.dumps(w.doc | changes))
@@ -150,45 +156,47 @@
     return str(tmp_path / "config.json"), str(tmp_path / "op.star")
 
 
-def test_the_commands_say_what_is_in_effect(tmp_path: Path):
-    path, operator = write(
+def test_the_commands_show_the_configuration_in_effect(tmp_path: Path):
+    path, operator = write_files(
         tmp_path, "servers(file='s.json', max_removed=0.25)\nnats(listen='127.0.0.1:4222')"
     )
-    done = CliRunner().invoke(main, ["check-config", "--config", path, "--operator", operator])
-    assert done.exit_code == 0
-    assert "1 files of servers" in done.output
-    done = CliRunner().invoke(main, ["config", "show", "--config", path, "--operator", operator])
-    shown = json.loads(done.output)
+    result = CliRunner().invoke(main, ["check-config", "--config", path, "--operator", operator])
+    assert result.exit_code == 0
+    assert "1 files of servers" in result.output
+    result = CliRunner().invoke(main, ["config", "show", "--config", path, "--operator", operator])
+    shown = json.loads(result.output)
     assert shown["operator"]["servers"][0]["max_removed"] == 0.25
     assert shown["nats"]["listen"] == "127.0.0.1:4222"
-    done = CliRunner().invoke(main, ["config", "schema"])
-    assert "max_removed" in done.output
-    assert "number 0.0 to 1.0" in done.output
-    path, operator = write(tmp_path, "servers(file='s.json', max_removed=2)")
-    done = CliRunner().invoke(main, ["check-config", "--config", path, "--operator", operator])
-    assert done.exit_code == 1
+    result = CliRunner().invoke(main, ["config", "schema"])
+    assert "max_removed" in result.output
+    assert "number 0.0 to 1.0" in result.output
+    path, operator = write_files(tmp_path, "servers(file='s.json', max_removed=2)")
+    result = CliRunner().invoke(main, ["check-config", "--config", path, "--operator", operator])
+    assert result.exit_code == 1
 
 
-def test_both_ways_to_say_nats_or_no_servers_at_all_are_refused(tmp_path: Path):
+def test_nats_settings_in_both_files_or_no_source_of_endpoints_are_rejected(tmp_path: Path):
     (tmp_path / "nats.json").write_text('{"listen":"127.0.0.1:4222"}')
-    path, operator = write(tmp_path, "nats(listen='127.0.0.1:4223')")
-    both = ["check-config", "--config", path, "--operator", operator, "--nats", str(tmp_path / "nats.json")]
-    assert CliRunner().invoke(main, both).exit_code == 1
-    path, operator = write(tmp_path, "", discovery="")
+    path, operator = write_files(tmp_path, "nats(listen='127.0.0.1:4223')")
+    args = ["check-config", "--config", path, "--operator", operator, "--nats", str(tmp_path / "nats.json")]
+    assert CliRunner().invoke(main, args).exit_code == 1
+    path, operator = write_files(tmp_path, "", discovery="")
     assert CliRunner().invoke(main, ["check-config", "--config", path, "--operator", operator]).exit_code == 1
 
 
-def test_sighup_takes_all_of_a_good_operator_file_and_nothing_of_a_bad_one(tmp_path: Path):
-    """An operator file is changed while the proxy runs, first to an invalid one. Nothing of that may be
-    taken, and all of the valid one after it.
+def test_a_reload_applies_all_of_a_valid_operator_file_and_nothing_of_an_invalid_one(tmp_path: Path):
+    """An operator file is changed while the proxy runs, first to an invalid version. Nothing of that may be
+    applied, and all of the valid version after it.
     """
-    w = World("lines", "up", "up", known=False, operator=run(tmp_path, "servers(file='a.json', settle_ms=0)"))
+    w = World(
+        "lines", "up", "up", known=False, operator=run_script(tmp_path, "servers(file='a.json', settle_ms=0)")
+    )
     path, operator = str(tmp_path / "config.json"), str(tmp_path / "op.star")
     (tmp_path / "config.json").write_text(json.dumps(w.doc))
     for name, server in zip("ab", w.servers):
         (tmp_path / f"{name}.json").write_text(json.dumps({"instances": [server.row]}))
     w.until(lambda: w.driver.ready_count == 1)
-    served, statistics = w.up(3), w.handler.statistics
+    clients, statistics = w.up(3), w.handler.statistics
     (tmp_path / "op.star").write_text("servers(file='a.json')\nservers(file='b.json', max_removed=7)")
     w.proxy.reload(path, None, operator)
     w.until(lambda: statistics.reloads_failed == 1)
@@ -197,43 +205,43 @@
         "servers(file='a.json', settle_ms=0, drain_s=1)\nservers(file='b.json')\nlog(level='warning')"
     )
     w.proxy.reload(path, None, operator)
-    w.proxy.reload(path, None, operator)  # a second signal while the first is at work
+    w.proxy.reload(path, None, operator)  # a second signal during the first reload
     w.until(lambda: w.driver.ready_count == 2)
     w.until(lambda: w.proxy.reloader.task is None)
     assert statistics.reloads_succeeded == 1
-    assert not any(c.ended_at for c in served)
+    assert not any(c.ended_at for c in clients)
     (tmp_path / "op.star").write_text("servers(file='b.json', name='c', settle_ms=0, drain_s=1)")
     w.proxy.reload(path, None, operator)
-    w.until(lambda: all(c.has("moved") for c in served), 40.0)  # off the server that no source names any more
+    w.until(lambda: all(c.has("moved") for c in clients), 40.0)  # no source names their endpoint any more
     w.until(lambda: w.driver.endpoint_count == 1)
     logs.configure_logs()
     w.close()
 
 
-def test_json_lines_carry_event_and_fields(capfd: pytest.CaptureFixture[str]):
+def test_json_log_lines_contain_event_and_fields(capfd: pytest.CaptureFixture[str]):
     try:
         logs.configure_logs("json", "info")
         logs.log("source.refused", 'a "line"', "error", source="f", name="taken by logging", servers=3)
-        logs.log("call.ended", "not said", "debug")
+        logs.log("call.ended", "below the level", "debug")
     finally:
         logs.configure_logs()
     (line,) = capfd.readouterr().err.splitlines()
-    said = json.loads(line)
-    assert said["event"] == "source.refused"
-    assert said["message"] == 'a "line"'
-    assert said["level"] == "ERROR"
-    assert (said["source"], said["servers"], said["name_"]) == ("f", 3, "taken by logging")
-    assert "time" in said
+    record = json.loads(line)
+    assert record["event"] == "source.refused"
+    assert record["message"] == 'a "line"'
+    assert record["level"] == "ERROR"
+    assert (record["source"], record["servers"], record["name_"]) == ("f", 3, "taken by logging")
+    assert "time" in record
 
 
 def test_every_event_name_in_use_is_listed_and_documented():
     root = Path(__file__).parent.parent
     used = set()
     for path in (root / "arrowseam").rglob("*.py"):
-        for part in path.read_text().split("log(")[1:]:
-            word = part.lstrip().partition('"')[2].partition('"')[0]
-            if part.lstrip().startswith('"') and "." in word:
-                used.add(word)
+        for call in path.read_text().split("log(")[1:]:
+            event = call.lstrip().partition('"')[2].partition('"')[0]
+            if call.lstrip().startswith('"') and "." in event:
+                used.add(event)
     used.update(MembershipEvent)
     assert used <= logs.EVENTS
     page = "".join(path.read_text() for path in (root / "docs" / "operators").glob("*.md"))
