--- a/arrowseam/config/operator.py
+++ b/arrowseam/config/operator.py
@@ -34,15 +34,10 @@
     """Servers and weights from a file, watched; ``docs/operators/watched-files.md``."""
 
     file: Text  # relative to the operator file's folder
-    name: Annotated[str, Meta(pattern=f"^$|{NAME_PATTERN}")] = (
-        ""  # in control and logs; default: from the file's name
-    )
-    rank: Annotated[int, Meta(ge=1, le=1000)] = (
-        10  # of the sources that name a server, the highest wins; discovery has 0
-    )
-    max_removed: Annotated[float, Meta(ge=0.0, le=1.0)] = (
-        0.5  # share of the ready weight that one version may remove
-    )
+    name: Annotated[str, Meta(pattern=f"^$|{NAME_PATTERN}")] = ""  # in control and logs; default: the file's
+    rank: Annotated[int, Meta(ge=1, le=1000)] = 10  # the highest source of a server wins; discovery: 0
+    # Share of the ready weight that one version may remove.
+    max_removed: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.5
     max_bytes: Annotated[int, Meta(ge=1, le=256 << 20)] = 16 << 20
     settle_ms: Annotated[int, Meta(ge=0, le=1000)] = 500  # how long an endpoint that no source names is kept
     drain_s: Annotated[int, Meta(ge=1, le=3600)] = 30  # how long it then drains before it is removed
@@ -89,22 +84,15 @@
     listen: Text  # IP:PORT for datagrams and streams
     advertise: str = ""  # where other members reach it, if not at ``listen``
     seeds: Annotated[tuple[Text, ...], Meta(max_length=64)] = ()  # members to join through
-    name: Annotated[str, Meta(pattern=NAME_PATTERN)] = (
-        "fleet"  # of the cluster; members of others are ignored
-    )
+    name: Annotated[str, Meta(pattern=NAME_PATTERN)] = "fleet"  # members of another name are ignored
     # Limits are shared among the members that may be alive (true), among the configured number (false), or
     # among all members without counting any of them out ("hold", for a change to zones).
     count: bool | Literal["hold"] = True
-    zone: Annotated[str, Meta(pattern=f"^$|{NAME_PATTERN}")] = (
-        ""  # of this proxy; empty = the cluster has no zones
-    )
-    zones: dict[
-        str, Annotated[int, Meta(ge=1, le=16_384)]
-    ] = {}  # number of members by zone, the same at all proxies
+    # Of this proxy; empty = the cluster has no zones.
+    zone: Annotated[str, Meta(pattern=f"^$|{NAME_PATTERN}")] = ""
+    zones: dict[str, Annotated[int, Meta(ge=1, le=16_384)]] = {}  # member counts, the same at all proxies
     period_ms: Annotated[int, Meta(ge=50, le=10_000)] = 300  # between two probes
-    timeout_ms: Annotated[int, Meta(ge=10, le=5_000)] = (
-        100  # of a probe, until other members are asked to probe
-    )
+    timeout_ms: Annotated[int, Meta(ge=10, le=5_000)] = 100  # of a probe, before other members probe too
     forget_s: Annotated[int, Meta(ge=60, le=7 * 24 * 3600)] = 3600  # after which ended members are forgotten
 
 
@@ -237,7 +225,7 @@
             raise OperatorCallError(f"{field}.tenant: the settings have no tenant {place.tenant!r}")
 
 
-def combine_agree(agree: Struct | None, budgets: Struct | None) -> Agree | None:
+def combine_agree_and_budgets(agree: Struct | None, budgets: Struct | None) -> Agree | None:
     """Combine the arguments of ``agree`` and ``budgets``; None without ``agree``."""
     if not isinstance(agree, AgreeSaid):
         return None
--- a/arrowseam/config/proxy.py
+++ b/arrowseam/config/proxy.py
@@ -22,11 +22,7 @@
 from arrowseam.errors import ArrowseamError
 
 DEFAULT_DESCRIPTOR_LIMIT = 1024
-OPTIONAL_KEYS = (
-    "seed",
-    "known",
-    "control",
-)  # a reloaded file may omit these even if the previous one had them
+OPTIONAL_KEYS = ("seed", "known", "control")  # a reloaded file may omit these even if the last one had them
 PER_PROXY_SETTINGS = ("me", "zone")  # specific to one proxy, never in a bundle
 
 
--- a/arrowseam/config/script.py
+++ b/arrowseam/config/script.py
@@ -72,7 +72,7 @@
             servers=tuple(self.servers),
             nats=nats if isinstance(nats, operator.Nats) else None,
             fleet=fleet if isinstance(fleet, operator.Fleet) else None,
-            agree=operator.combine_agree(calls.get("agree"), calls.get("budgets")),
+            agree=operator.combine_agree_and_budgets(calls.get("agree"), calls.get("budgets")),
             log=log if isinstance(log, operator.Log) else operator.Log(),
             state_dir=state_dir.folder if isinstance(state_dir, operator.StateDir) else "",
         )
--- a/arrowseam/endpoint_sources/file_reader.py
+++ b/arrowseam/endpoint_sources/file_reader.py
@@ -58,7 +58,7 @@
 
 
 def _open(path: str) -> int:
-    """Opens a regular file; the type is checked first, since opening a device or a FIFO may act or block."""
+    """Open a regular file. Opening a device may have side effects and a FIFO may block, so check first."""
     try:
         is_regular = stat.S_ISREG(os.stat(path).st_mode)
         flags = os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC | os.O_NOCTTY
--- a/arrowseam/endpoint_sources/merge.py
+++ b/arrowseam/endpoint_sources/merge.py
@@ -238,7 +238,7 @@
     # --- the merged list ---
 
     def take_changes(self, now: int, limit: int = UNLIMITED) -> list[EndpointRecord]:
-        """Evaluate at limit ``limit`` endpoints, departing ones first; returns the records to publish now."""
+        """Evaluate at most ``limit`` endpoints, departing ones first; returns the records to publish now."""
         while self._timers and self._timers[0][0] <= now:
             self._urgent[heapq.heappop(self._timers)[1]] = None
         changes = []
