--- a/arrowseam/control/interfaces.py
+++ b/arrowseam/control/interfaces.py
@@ -20,7 +20,7 @@
     def source_rows(self) -> Iterator[dict[str, Any]]:
         """One row for each source."""
 
-    def allow(self, name: str) -> bool:
+    def allow_large_removal(self, name: str) -> bool:
         """Accept the next large removal of a source, once; False if there is no such source."""
 
 
