--- a/arrowseam/proxy/reload.py
+++ b/arrowseam/proxy/reload.py
@@ -115,12 +115,12 @@
         fixed = {key: getattr(previous, key) for key in FIXED_KEYS}
         config = replace(effective_config(config, nats_config), **fixed)
         proxy.set_config(config)
-        is_renumbered = (config.zones, config.machine_types) != (previous.zones, previous.machine_types)
-        if is_renumbered:
+        indices_changed = (config.zones, config.machine_types) != (previous.zones, previous.machine_types)
+        if indices_changed:
             proxy.discovery.request_update(complete=True)
         proxy.discovery.start()
         if operator is not None:
-            self._apply_operator(operator, config, is_renumbered)
+            self._apply_operator(operator, config, indices_changed)
         proxy.loop.set_descriptor_limit(config.descriptor_limit)
         proxy.discovery.switch_to(config.discovery)
         unapplied = f"; changed but kept until a restart: {', '.join(need_restart)}" if need_restart else ""
@@ -136,12 +136,12 @@
         server.nats_config = replace(nats_config, **fixed)
         return need_restart
 
-    def _apply_operator(self, operator: Operator, config: Config, is_renumbered: bool) -> None:
+    def _apply_operator(self, operator: Operator, config: Config, indices_changed: bool) -> None:
         proxy = self.proxy
         if proxy.endpoint_sources is None:
             return
         proxy.endpoint_sources.config = config
-        if is_renumbered:
+        if indices_changed:
             proxy.endpoint_sources.republish_endpoints()
         proxy.endpoint_sources.configure(operator)
         proxy.cluster.configure(operator)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control, figures and cordons, on real sockets and on both fronts."""
+"""Control commands, counters and cordons, on real sockets and with both client protocols."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("call", "answer"),
+    ("command", "answer"),
     [
         (b"health\r\n", b"ACK"),
         (b"health\n", b"ACK"),
@@ -57,15 +57,15 @@
         (b"x" * 5000, b"NAK"),
     ],
 )
-def test_calls(call: bytes, answer: bytes):
+def test_commands_are_answered(command: bytes, answer: bytes):
     w = World("lines", "up")
-    assert w.control(call).startswith(answer)
+    assert w.control(command).startswith(answer)
     w.close()
 
 
-def test_health_says_no_without_a_list_and_while_it_drains():
-    """A process without an endpoint list, or one that shuts down, cannot serve. Health must say so, or
-    clients are sent to it.
+def test_health_is_nak_without_endpoints_and_while_draining():
+    """A process without an endpoint list, or one that shuts down, cannot serve. If ``health`` does not report
+    that, clients are sent to it.
     """
     w = World("lines", "up", known=False)
     assert w.control(b"health\n").startswith(b"NAK")
@@ -77,22 +77,22 @@
     w.close()
 
 
-def test_callers_who_say_nothing_or_half_a_call_block_nobody():
-    """And half a call does nothing, also when its caller leaves."""
+def test_callers_with_no_or_a_partial_command_block_nobody():
+    """A partial command must not be executed either, also when its caller disconnects."""
     w = World("lines", "up")
-    mute = [w.call(b"") for _ in range(30)] + [w.call(b"cordon s0") for _ in range(3)]
+    callers = [w.call(b"") for _ in range(30)] + [w.call(b"cordon s0") for _ in range(3)]
     w.run(0.05)
     began = clock()
     assert w.control(b"health\n").startswith(b"ACK")
     assert clock() - began < SECOND
     assert len(w.proxy.control.waiting) <= 16
-    w.until(lambda: sum(answer() is not None for answer in mute) >= 17)
+    w.until(lambda: sum(answer() is not None for answer in callers) >= 17)
     assert not w.driver.cordoned
     w.close()
 
 
-def test_control_is_answered_before_all_that_waits(world):
-    """Answers are due within a second at any load: what is ready for control runs first in each round."""
+def test_control_tasks_run_before_all_others(world):
+    """Control must answer within a second at any load, so its tasks run first in each round."""
     w, order = world("up"), []
 
     def note(name: str):
@@ -112,109 +112,109 @@
     w = world("up")
     w.until(
         lambda: w.calls
-    )  # discovery's connection takes two descriptors: its other end is in this loop too
+    )  # wait for discovery's connection: its two ends in this loop take two descriptors
     w.loop.descriptor_limit = len(w.loop.watched) + 10
-    refused = w.client()
-    w.until(lambda: refused.ended_at)
-    assert refused.has("rejected")
+    client = w.client()
+    w.until(lambda: client.ended_at)
+    assert client.has("rejected")
     assert w.loop.descriptors_scarce
     assert w.control(b"health\n") == b"ACK\n"
 
 
-def test_figures_agree_with_what_the_peers_saw(world):
+def test_counters_agree_with_what_clients_and_endpoints_observed(world):
     w = world("up", "busy", "error")
     served = w.up(12)
     w.servers[0].mode = "busy"
-    turned = [w.client(next(w.numbers), b"resident") for _ in range(5)]
-    w.until(lambda: all(c.ended_at for c in turned))
-    found = w.figures()
-    assert found["edge.replies.tech.success"] == len(served)
-    assert found["edge.replies.resident.overload"] == sum(c.has("rejected") for c in turned)
-    assert found["edge.replies.resident.error"] == sum(c.has("failed") for c in turned)
-    words = b"OPEN " if w.wire == "lines" else b"CONNECT "
-    heard = sum(words in got for server in w.servers for got in server.heard)
-    assert found["edge.dispatches"] == heard
-    assert found["edge.concurrent"] == len(served)
-    assert found["edge.targets"] == 3
+    rejected = [w.client(next(w.numbers), b"resident") for _ in range(5)]
+    w.until(lambda: all(c.ended_at for c in rejected))
+    counters = w.figures()
+    assert counters["edge.replies.tech.success"] == len(served)
+    assert counters["edge.replies.resident.overload"] == sum(c.has("rejected") for c in rejected)
+    assert counters["edge.replies.resident.error"] == sum(c.has("failed") for c in rejected)
+    opening = b"OPEN " if w.wire == "lines" else b"CONNECT "
+    opening_count = sum(opening in got for server in w.servers for got in server.heard)
+    assert counters["edge.dispatches"] == opening_count
+    assert counters["edge.concurrent"] == len(served)
+    assert counters["edge.targets"] == 3
     served[0].conn.close()
     w.until(lambda: len(w.handler.active) == len(served) - 1)
     assert w.figures()["edge.concurrent"] == len(served) - 1
 
 
-def test_a_cordoned_server_is_sent_nothing_and_its_clients_are_moved(world):
-    """An endpoint is cordoned while clients are connected to it and others come. It must get nothing any
-    more, and its clients must be migrated.
+def test_a_cordoned_endpoint_gets_no_requests_and_its_clients_are_migrated(world):
+    """An endpoint is cordoned while clients are connected to it and others arrive. It must get no requests
+    any more, and its clients must be migrated.
     """
     w = world("up", "up")
     w.up(12)
-    before = len(w.servers[0].heard)
-    assert before
+    received_before = len(w.servers[0].heard)
+    assert received_before
     for _ in range(2):
         assert w.control(b"cordon s0\r\n") == b"ACK\n"
     assert w.figures()["edge.targets_disabled"] == 1
-    # Neither a list nor a restart of the server ends it.
+    # Neither a new list nor a restart of the endpoint ends the cordon.
     w.tell(s0={"startedAtMs": 1_700_000_000_000}, s1={})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     w.up(10)
     w.until(lambda: not w.servers[0].live, 8)
-    assert len(w.servers[0].heard) == before
-    assert w.control(b"uncordon s0\r\n") == b"ACK\n"  # one call back undoes both
+    assert len(w.servers[0].heard) == received_before
+    assert w.control(b"uncordon s0\r\n") == b"ACK\n"  # one uncordon undoes both cordons
     assert w.figures()["edge.targets_disabled"] == 0
     w.up(20)
-    w.until(lambda: len(w.servers[0].heard) > before)
+    w.until(lambda: len(w.servers[0].heard) > received_before)
 
 
-def test_a_call_that_has_written_nothing_is_called_off_by_a_cordon(world):
+def test_a_cordon_cancels_an_attempt_that_has_sent_nothing(world):
     """An attempt has connected to an endpoint, which is cordoned right before the opening is sent. The
     attempt must be cancelled and made elsewhere.
     """
     w = world("up", "up")
-    picked = []
+    selected = []
     address = w.handler.attempts.endpoint_address
 
-    def watched(server: str):
-        picked.append(server)
-        if len(picked) == 1:
-            assert w.driver.cordon(server, True)
-        return address(server)
+    def cordon_first(endpoint: str):
+        selected.append(endpoint)
+        if len(selected) == 1:
+            assert w.driver.cordon(endpoint, True)
+        return address(endpoint)
 
-    w.handler.attempts.endpoint_address = watched
+    w.handler.attempts.endpoint_address = cordon_first
     client = w.client()
     w.until(lambda: client.answers)
     assert client.has("up")
-    assert picked[0] != picked[1]
-    first = w.servers[int(picked[0][1])]
+    assert selected[0] != selected[1]
+    first = w.servers[int(selected[0][1])]
     assert not any(b"OPEN" in got or b"CONNECT" in got for got in first.heard)
-    assert not w.driver.balancer.outliers.failing  # it is no fault of the server's
+    assert not w.driver.balancer.outliers.failing  # it does not count as a failure of the endpoint
 
 
-def test_an_attempt_that_waits_for_its_turn_goes_elsewhere_after_a_cordon(world):
-    """The balancer has chosen an endpoint, which is cordoned before the coroutine takes up the attempt. The
+def test_an_attempt_not_yet_started_goes_elsewhere_after_a_cordon(world):
+    """The balancer has selected an endpoint, which is cordoned before the coroutine starts the attempt. The
     attempt must go to another one.
     """
     w = world("up", "up")
     driver, notify = w.driver, w.driver._notify
     chosen: list[str] = []
 
-    def once(*events: object) -> None:
+    def cordon_chosen(*events: object) -> None:
         notify(*events)
         if isinstance(events[0], RequestArrived) and not chosen:
             (request,) = driver._requests.values()
             chosen.append(driver.endpoint_names[request.endpoint_id])
             driver.cordon(chosen[0], True)
 
-    driver._notify = once
+    driver._notify = cordon_chosen
     client = w.client()
     w.until(lambda: client.answers)
     assert client.has("up")
     assert not w.servers[int(chosen[0][1])].heard
 
 
-# --- the module by itself ---------------------------------------------------------------------------------
+# --- the balancer alone -----------------------------------------------------------------------------------
 
 
-def test_what_is_cordoned_stays_out_whatever_the_list_says():
-    """A cordoned endpoint drains, goes and comes back in the list. It must stay out until uncordoned."""
+def test_a_cordon_survives_list_updates():
+    """A cordoned endpoint restarts, is removed from the list and listed again. It must stay cordoned."""
     balancer = make_balancer(make_endpoints(2))
     balancer.handle(START, [CordonChanged(100)])
     restarted = Endpoint(100, started_at=START + 1)
@@ -223,97 +223,101 @@
         EndpointUpdate(UpdateKind.DELTA, 3, (Endpoint(100, state=EndpointState.REMOVED),)),
         EndpointUpdate(UpdateKind.DELTA, 4, (restarted,)),
     ]
-    for n, told in enumerate(lists):
-        balancer.handle(START + n, [told])
-        asked = balancer.handle(START + n, [arrival(100 * n + k) for k in range(30)])
-        assert {send.endpoint_id for send in attempts(asked)} == {101}
+    for n, update in enumerate(lists):
+        balancer.handle(START + n, [update])
+        actions = balancer.handle(START + n, [arrival(100 * n + k) for k in range(30)])
+        assert {send.endpoint_id for send in attempts(actions)} == {101}
 
 
-def test_after_the_call_back_old_strikes_are_gone_but_the_server_is_cold():
-    """An endpoint was ejected, then cordoned and uncordoned. Its failures from before must not count any
-    more, but it must be warmed up as after a restart.
+def test_uncordoning_clears_the_failure_score_and_begins_slow_start():
+    """An endpoint fails, then is cordoned and uncordoned. The earlier failures must not count any more, but
+    it must warm up as after a restart.
     """
     clock = Clock(make_balancer(make_endpoints(2)))
     balancer = clock.balancer
-    struck = [s for s in attempts(clock.step(*[arrival(n) for n in range(40)])) if s.endpoint_id == 100]
-    clock.step(*[attempt_ended(send, Outcome.RESET) for send in struck])
+    failing_attempts = [
+        s for s in attempts(clock.step(*[arrival(n) for n in range(40)])) if s.endpoint_id == 100
+    ]
+    clock.step(*[attempt_ended(send, Outcome.RESET) for send in failing_attempts])
     assert balancer.outliers.failure_score(balancer.endpoints.by_id[100], balancer.now) > 0
     clock.step(CordonChanged(100), CordonChanged(100))
     assert balancer.unavailable_count() == 1
     clock.step(CordonChanged(100, cordoned=False), after=SECOND)
-    server = balancer.endpoints.by_id[100]
+    endpoint = balancer.endpoints.by_id[100]
     assert balancer.unavailable_count() == 0
-    assert balancer.outliers.failure_score(server, balancer.now) == 0
+    assert balancer.outliers.failure_score(endpoint, balancer.now) == 0
     assert (
-        warm_up_fraction(server, balancer.now, balancer.settings.rules)
+        warm_up_fraction(endpoint, balancer.now, balancer.settings.rules)
         == balancer.settings.rules.cold_capacity_fraction
     )
-    clock.step(CordonChanged(100, cordoned=False), after=5 * SECOND)  # nothing to undo: the age goes on
+    clock.step(CordonChanged(100, cordoned=False), after=5 * SECOND)  # nothing to undo: the warm-up continues
     assert (
-        warm_up_fraction(server, balancer.now, balancer.settings.rules)
+        warm_up_fraction(endpoint, balancer.now, balancer.settings.rules)
         > balancer.settings.rules.cold_capacity_fraction
     )
 
 
-def test_a_server_that_was_put_back_is_used_within_five_seconds():
-    """By chance alone it may be passed by for longer."""
+def test_an_uncordoned_endpoint_is_used_within_five_seconds():
+    """By random selection alone it could get no request for longer."""
     for seed in range(30):
         clock = Clock(make_balancer(make_endpoints(60), seed=seed))
         clock.step(CordonChanged(100))
         clock.step(CordonChanged(100, cordoned=False), after=2 * SECOND)
-        used = [clock.step(arrival(n), after=500 * MS) for n in range(9)]
-        assert any(send.endpoint_id == 100 for actions in used for send in attempts(actions))
+        action_lists = [clock.step(arrival(n), after=500 * MS) for n in range(9)]
+        assert any(send.endpoint_id == 100 for actions in action_lists for send in attempts(actions))
 
 
-def test_many_relays_together_do_not_push_over_what_was_put_back():
-    """An endpoint is uncordoned at many proxies at once. Each would send it the next client; in sum that
-    must stay within what it can do while it warms up.
+def test_many_proxies_together_do_not_overload_an_uncordoned_endpoint():
+    """An endpoint is uncordoned at many proxies at once. If each sent it the next client, the sum would
+    exceed its capacity during the warm-up.
     """
-    first = 0
+    attempt_count = 0
     for seed in range(48):
         clock = Clock(make_balancer(make_endpoints(60), seed=seed, proxy_count=48, proxy_index=0))
         clock.step(CordonChanged(100))
         clock.step(CordonChanged(100, cordoned=False), after=2 * SECOND)
-        first += sum(send.endpoint_id == 100 for send in attempts(clock.step(arrival(1), after=2 * SECOND)))
-    assert 0 < first <= 12
+        attempt_count += sum(
+            send.endpoint_id == 100 for send in attempts(clock.step(arrival(1), after=2 * SECOND))
+        )
+    assert 0 < attempt_count <= 12
 
 
-def test_all_descriptors_of_a_caller_are_given_back():
-    """A caller asks and leaves. None of its descriptors may stay open."""
+def test_all_descriptors_of_a_caller_are_closed():
+    """A caller sends a command and disconnects. None of its descriptors may stay open."""
     w = World("lines", "up")
-    w.until(lambda: w.calls)  # discovery's connection is there: it is none of the caller's
-    before = sum(isinstance(c, Connection) for c in w.loop.watched.values())
+    w.until(lambda: w.calls)  # discovery's connection must not be counted as the caller's
+    open_before = sum(isinstance(c, Connection) for c in w.loop.watched.values())
     w.control(b"health\n")
-    w.until(lambda: sum(isinstance(c, Connection) for c in w.loop.watched.values()) == before)
+    w.until(lambda: sum(isinstance(c, Connection) for c in w.loop.watched.values()) == open_before)
     w.close()
 
 
-def test_a_cold_server_is_given_no_more_than_it_can_likely_carry():
-    """Moves off one server fell on those that had just started, where then nobody was served in time."""
-    quota = (Tenant(connection_quota=82.0),)  # the fleet: a hundred connections, each server ten
-    # With more relays one holds too few to tell: the ration bounds them.
-    for relays, most in ((1, 3), (2, 5)):
+def test_a_cold_endpoint_gets_no_more_than_its_likely_capacity():
+    """Clients migrated off one endpoint went to others that had just started and served none in time."""
+    quota = (Tenant(connection_quota=82.0),)  # a hundred connections in all, ten at each endpoint
+    # With two proxies each has too few connections to judge by: the slow-start bucket bounds the attempts.
+    for proxies, limit in ((1, 3), (2, 5)):
         placed = 0
-        for seed in range(relays):
+        for seed in range(proxies):
             balancer = make_balancer(
                 make_endpoints(10),
                 seed=seed,
-                proxy_count=relays,
+                proxy_count=proxies,
                 proxy_index=seed,
                 tenants=quota,
                 reports_latency=False,
             )
-            balancer.handle(START, [arrival(n) for n in range(40 // relays + 1)])
+            balancer.handle(START, [arrival(n) for n in range(40 // proxies + 1)])
             restarted = Endpoint(100, started_at=START)
             balancer.handle(START, [EndpointUpdate(UpdateKind.DELTA, 2, (restarted,))])
-            held = [
+            held_requests = [
                 n
-                for n, job in balancer.requests.by_id.items()
-                if job.endpoint and job.endpoint.endpoint_id == 100
+                for n, request in balancer.requests.by_id.items()
+                if request.endpoint and request.endpoint.endpoint_id == 100
             ]
-            balancer.handle(START, [RequestAbandoned(n) for n in held])
-            asked = balancer.handle(
-                START, [arrival(100 + n, expected_load=1.0) for n in range(60 // relays + 1)]
+            balancer.handle(START, [RequestAbandoned(n) for n in held_requests])
+            actions = balancer.handle(
+                START, [arrival(100 + n, expected_load=1.0) for n in range(60 // proxies + 1)]
             )
-            placed += sum(send.endpoint_id == 100 for send in attempts(asked))
-        assert 0 < placed <= most
+            placed += sum(send.endpoint_id == 100 for send in attempts(actions))
+        assert 0 < placed <= limit
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change at SIGHUP: all of a good file, nothing of a bad one, nothing for what is open."""
+"""Reload at SIGHUP: a valid file is applied whole, an invalid one not at all, requests keep their rules."""
 
 from __future__ import annotations
 
@@ -42,63 +42,63 @@
 
 def reload(w: World, folder: Path, doc: Any, users: tuple[str, ...] = ("tech", "resident")) -> dict[str, int]:
     (folder / "config.json").write_text(doc if isinstance(doc, str) else json.dumps(doc))
-    place = {user: {"class": user, "tenant": "acme"} for user in users}
-    (folder / "nats.json").write_text(json.dumps(w.nats | {"users": place}))
+    user_settings = {user: {"class": user, "tenant": "acme"} for user in users}
+    (folder / "nats.json").write_text(json.dumps(w.nats | {"users": user_settings}))
     w.proxy.reload(str(folder / "config.json"), str(folder / "nats.json"))
     return w.figures()
 
 
 def changed(w: World, *path: Any, value: Any = None) -> dict[str, Any]:
-    """The running file with one value changed, or (without a value) left out."""
+    """The configuration in use with one value changed, or (without a value) left out."""
     doc = copy.deepcopy(w.doc)
-    at: Any = doc
+    node: Any = doc
     for key in path[:-1]:
-        at = at[key]
+        node = node[key]
     if value is None:
-        del at[path[-1]]
+        del node[path[-1]]
     else:
-        at[path[-1]] = value
+        node[path[-1]] = value
     return doc
 
 
-def test_a_class_comes_and_another_goes_while_connections_of_it_stand(world, tmp_path, monkeypatch):
+def test_a_dropped_class_keeps_its_rules_for_established_connections(world, tmp_path, monkeypatch):
     """New settings drop a class that has established connections and add another in its position. The
-    connections must keep the rules that they were established with.
+    connections must keep the rules with which they were established.
     """
     monkeypatch.setitem(
         PROTOCOL_MESSAGES["lines"], "open", lambda n, k: b"OPEN %016x 0a c=%s,t=acme,d=800\r\n" % (n, k)
     )
     w = world("up", "up")
-    (old,) = w.up(klass=b"resident")
+    (established,) = w.up(klass=b"resident")
     lanes = w.doc["settings"]["lanes"]
     doc = changed(w, "settings", "lanes", value=[BULK, lanes[0]])
     assert reload(w, tmp_path, doc, ("tech", "bulk"))["edge.reload_success"] == 1
     w.up(2, klass=b"bulk")
-    late = w.client(77, b"resident")
-    w.until(lambda: late.ended_at)
-    assert not late.has("up")
-    found = w.figures()
-    assert found["edge.replies.bulk.success"] == 2
-    assert found["edge.replies.resident.success"] == 1  # dropped classes keep their figures
-    (stands,) = [j for j in w.driver.balancer.requests.by_id.values() if j.request_class.deadline == 600000]
+    late_client = w.client(77, b"resident")
+    w.until(lambda: late_client.ended_at)
+    assert not late_client.has("up")
+    counters = w.figures()
+    assert counters["edge.replies.bulk.success"] == 2
+    assert counters["edge.replies.resident.success"] == 1  # dropped classes keep their counters
+    (request,) = [r for r in w.driver.balancer.requests.by_id.values() if r.request_class.deadline == 600000]
     for load in (7.0, 9.0):
         w.driver.report_load_or_latency(
             next(i for i in w.handler.active.values() if i.class_name == "resident"), load
         )
-    assert stands.load == 9.0
-    assert not old.ended_at
+    assert request.load == 9.0
+    assert not established.ended_at
     assert w.handler.config.longest_deadline == 1_800_000
 
 
-def test_what_the_fleet_says_of_its_number_stands_over_the_configured_one_until_it_says_no_more(world):
+def test_the_proxy_count_of_the_cluster_overrides_the_configured_one_while_it_is_known(world):
     w = world("up")
     driver = w.driver
-    for share, configured, told in ((8, 1, 8), (8, 4, 8), (None, 4, 4), (None, 2, 2)):
+    for share, configured, expected in ((8, 1, 8), (8, 4, 8), (None, 4, 4), (None, 2, 2)):
         driver.set_proxy_count(share)
-        own = replace(w.config, settings=replace(w.config.settings, proxy_count=configured, proxy_index=0))
-        driver.update_settings(own)
-        assert driver.balancer.settings.proxy_count == told
-        assert driver.balancer.settings.proxy_index < told
+        config = replace(w.config, settings=replace(w.config.settings, proxy_count=configured, proxy_index=0))
+        driver.update_settings(config)
+        assert driver.balancer.settings.proxy_count == expected
+        assert driver.balancer.settings.proxy_index < expected
 
 
 @pytest.mark.parametrize(
@@ -116,20 +116,20 @@
         ("settings", "tenants", 0, "share"),
     ],
 )
-def test_of_a_file_that_lacks_a_key_nothing_is_taken(world, tmp_path, path):
-    """A file was cut or written by half. It is valid JSON but lacks a key that the last one had: nothing of
-    it may be taken.
+def test_a_file_that_lacks_a_key_is_rejected_whole(world, tmp_path, path):
+    """A file was truncated or only partly written: it is valid JSON but lacks a key that the last one had.
+    Nothing of it may be applied.
     """
     w = world("up")
     before = w.proxy.config
     doc = changed(w, *path)
-    doc.setdefault("discovery", "127.0.0.1:9")  # where nobody listens
+    doc.setdefault("discovery", "127.0.0.1:9")  # nothing listens there
     if path != ("discovery",):
         doc["discovery"] = "127.0.0.1:9"
     else:
         del doc["discovery"]
-    found = reload(w, tmp_path, doc)
-    assert (found["edge.reload_success"], found["edge.reload_failure"]) == (0, 1)
+    counters = reload(w, tmp_path, doc)
+    assert (counters["edge.reload_success"], counters["edge.reload_failure"]) == (0, 1)
     assert w.proxy.config is before
     assert w.proxy.discovery.address == before.discovery
 
@@ -147,8 +147,8 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "null", "[" * 100_000, '{"settings": 5}', "\udcff"])
-def test_a_broken_file_counts_once_and_changes_nothing(tmp_path, text):
-    """The file is no JSON when SIGHUP comes. The old settings must stay, and one failure is counted."""
+def test_an_unreadable_file_changes_nothing_and_counts_one_failure(tmp_path, text):
+    """The file cannot be decoded at SIGHUP. The old settings must remain, and one failure is counted."""
     w = World("lines", "up")
     (tmp_path / "config.json").write_bytes(text.encode("utf-8", "surrogateescape"))
     w.proxy.reload(str(tmp_path / "config.json"))
@@ -157,7 +157,7 @@
     w.close()
 
 
-def test_the_discovery_is_not_left_where_its_address_is_the_same(world, tmp_path):
+def test_a_reload_keeps_the_discovery_connection_if_the_address_is_the_same(world, tmp_path):
     """A reload that changes something else must not break the connection to the discovery service: all
     proxies would ask for the list at once.
     """
@@ -170,8 +170,8 @@
     assert len(w.calls) == calls
 
 
-def test_a_complete_list_asked_for_during_a_poll_is_fetched_after_it(world, tmp_path):
-    """A reload numbers the zones anew while a poll runs: the endpoints kept their old zones."""
+def test_a_complete_list_requested_during_a_poll_is_fetched_after_it(world, tmp_path):
+    """A reload renumbers the zones during a poll. Without a complete list, endpoints keep old numbers."""
     w = world("up")
     w.told = [w.servers[0].row]
     w.until(lambda: w.calls and "since=" in w.calls[-1][1])
@@ -185,7 +185,7 @@
     assert w.proxy.driver.balancer.endpoints.by_id[endpoint.endpoint_id].zone == 1
 
 
-def test_the_new_number_of_attempts_binds_what_comes_after_it(world, tmp_path):
+def test_a_new_attempt_limit_applies_to_later_requests(world, tmp_path):
     w = world("busy", "busy", "busy")
     reload(w, tmp_path, changed(w, "settings", "caps", "max_attempts", value=1))
     for n in range(3):
@@ -194,39 +194,41 @@
     assert w.figures()["edge.dispatches"] == 3
 
 
-# --- the module by itself ---------------------------------------------------------------------------------
+# --- the balancer alone -----------------------------------------------------------------------------------
 
 
-def retuned(balancer: Balancer, now: int, **changes: Any) -> None:
+def update_settings(balancer: Balancer, now: int, **changes: Any) -> None:
     new = replace(balancer.settings, **changes)
     balancer.handle(now, [SettingsUpdated(new, (0,) + (-1,) * (len(new.classes) - 1))])
 
 
-def test_what_is_open_keeps_its_own_effect_and_attempts():
-    """It came as one that is safe to repeat; its class is fragile now, for those that come from now on."""
+def test_a_request_keeps_its_idempotency_and_gets_no_more_attempts():
+    """A class becomes non-idempotent while a request of it is retried. Only later requests are affected."""
     clock = Clock(make_balancer(make_endpoints(5)))
     (first,) = attempts(clock.step(arrival(1)))
     old = clock.balancer.settings
-    fragile = replace(old.classes[0], idempotency=Idempotency.NON_IDEMPOTENT)
-    retuned(clock.balancer, clock.now, classes=(fragile,), limits=replace(old.limits, max_attempts=9))
-    (again,) = attempts(clock.step(attempt_ended(first, Outcome.RESET)))
+    non_idempotent = replace(old.classes[0], idempotency=Idempotency.NON_IDEMPOTENT)
+    update_settings(
+        clock.balancer, clock.now, classes=(non_idempotent,), limits=replace(old.limits, max_attempts=9)
+    )
+    (retry,) = attempts(clock.step(attempt_ended(first, Outcome.RESET)))
     (second,) = attempts(clock.step(arrival(2)))
     actions = clock.step(attempt_ended(second, Outcome.RESET))
     assert not attempts(actions)
     assert isinstance(final_answers(actions)[0], Fail)
-    (third,) = attempts(clock.step(attempt_ended(again, Outcome.RESET, 1)))
+    (third,) = attempts(clock.step(attempt_ended(retry, Outcome.RESET, 1)))
     assert isinstance(final_answers(clock.step(attempt_ended(third, Outcome.RESET, 2)))[0], Reject)
 
 
-def test_fewer_attempts_bind_at_once():
+def test_a_lower_attempt_limit_applies_at_once():
     clock = Clock(make_balancer(make_endpoints(5)))
     (first,) = attempts(clock.step(arrival(1)))
     limits = replace(clock.balancer.settings.limits, max_attempts=1)
-    retuned(clock.balancer, clock.now, limits=limits)
+    update_settings(clock.balancer, clock.now, limits=limits)
     assert final_answers(clock.step(attempt_ended(first, Outcome.REJECTED)))
 
 
-def test_what_was_learnt_of_a_class_stays_with_it():
+def test_the_measured_load_of_a_class_follows_it_to_its_new_position():
     balancer = make_balancer(make_endpoints(2), classes=settings().classes * 2)
     balancer.handle(START, [arrival(1, class_index=1)])
     balancer.handle(START, [LoadReported(1, 0, 100, 40.0)])
@@ -237,7 +239,7 @@
     assert balancer.requests.by_id[2].load == 40.0
 
 
-def test_a_retune_that_does_not_say_which_class_is_which_is_no_retune():
+def test_an_update_without_the_positions_of_the_classes_is_rejected():
     balancer = make_balancer(make_endpoints(1))
     with pytest.raises(UsageError):
         balancer.handle(START, [SettingsUpdated(balancer.settings, ())])
