--- a/arrowseam/cli/lab_commands.py
+++ b/arrowseam/cli/lab_commands.py
@@ -23,7 +23,7 @@
 @click.option("--members", type=click.IntRange(2, 64), help="Members of a drawn schedule; default: 3 to 7.")
 @click.option("--keep", metavar="DIR", help="Keep logs, schedule and record there.")
 @click.option(
-    "--agreed", is_flag=True, help="Three members form a consensus; the steps include drains and releases."
+    "--agreed", is_flag=True, help="Run consensus among three members; the steps include drains and releases."
 )
 def lab_fleet(
     schedule: str | None, seed: int | None, members: int | None, keep: str | None, agreed: bool
@@ -48,7 +48,7 @@
 
 @lab_group.command("scale")
 @click.option(
-    "--members", type=click.IntRange(2, 20_000), default=100, show_default=True, help="Number in all."
+    "--members", type=click.IntRange(2, 20_000), default=100, show_default=True, help="Members in all."
 )
 @click.option(
     "--real", type=click.IntRange(0, 32), default=2, show_default=True, help="Real proxies among the members."
@@ -63,7 +63,11 @@
     help="Faults in order, separated by commas; `help` lists them.",
 )
 @click.option(
-    "--seconds", type=click.FloatRange(3, 600), default=60.0, show_default=True, help="Of each fault."
+    "--seconds",
+    type=click.FloatRange(3, 600),
+    default=60.0,
+    show_default=True,
+    help="Duration of each fault.",
 )
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for record.json, run.json and logs.")
 @click.option("--period-ms", type=click.IntRange(50, 10_000), default=300, show_default=True)
