--- a/arrowseam/cli/lab.py
+++ b/arrowseam/cli/lab.py
@@ -11,7 +11,14 @@
 
 import click
 
-from arrowseam.lab import agreed_stage, fault_kinds, fault_runner, scale_plan, scale_record, schedule_file
+from arrowseam.lab import (
+    fault_kinds,
+    fault_runner,
+    rollout_fault_runner,
+    scale_plan,
+    scale_record,
+    schedule_file,
+)
 from arrowseam.lab import scale as scales
 from arrowseam.lab import soak as soaks
 from arrowseam.lab.fault_kinds import Targets
@@ -59,8 +66,8 @@
 
 def fleet(path: str | None, seed: int | None, members: int | None, keep: str | None, agreed: bool) -> int:
     """Exit status 0, or 3 where a promise was broken."""
-    kinds = fault_kinds.KINDS | (agreed_stage.KINDS if agreed else {})
-    draw = agreed_stage.draw if agreed else fault_kinds.draw
+    kinds = fault_kinds.KINDS | (rollout_fault_runner.KINDS if agreed else {})
+    draw = rollout_fault_runner.draw if agreed else fault_kinds.draw
     if (path is None) == (seed is None):
         raise click.UsageError("give a schedule, or --draw SEED")
     written = _read(path, kinds) if path is not None else schedule_file.ScheduleFile(draw(seed or 0, members))
@@ -74,7 +81,7 @@
             click.echo(
                 f"{step.at / 1e6:6.2f} s  {step.what} {' '.join(step.who)} {step.server}".rstrip() + span
             )
-        play = agreed_stage.play if agreed else fault_runner.play
+        play = rollout_fault_runner.play if agreed else fault_runner.play
         record = play(written.schedule, own, servers=written.servers, visits=written.visits)
         if keep:
             (own / "schedule.json").write_text(written.schedule.text())
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -30,14 +30,20 @@
 from typing import Any
 
 from arrowseam.consensus.node import Node
-from arrowseam.lab import agreed, agreed_stage, explored, gated, planted_agree
+from arrowseam.lab import (
+    gate_simulation,
+    raft_exploration,
+    rollout_fault_runner,
+    rollout_mutants,
+    rollout_simulation,
+)
 from arrowseam.lab.local_cluster import LocalCluster
 
 SECOND = 1_000_000
 
 
 def play(seed: int) -> tuple[int, list[str], Counter[str], int | None, bool]:
-    verdict = agreed.play(agreed.draw(seed))
+    verdict = rollout_simulation.play(rollout_simulation.draw(seed))
     return seed, verdict.broken, verdict.counts, verdict.settled, verdict.lost
 
 
@@ -71,11 +77,11 @@
 
 def caught(job: tuple[int, int]) -> tuple[int, str]:
     index, seed = job
-    _, kind, storing = planted_agree.agents()[index]
+    _, kind, storing = rollout_mutants.agents()[index]
     signal.signal(signal.SIGALRM, _late)
     signal.alarm(8)  # a fault that makes it go round and round is found too
     try:
-        broken = agreed.play(agreed.draw(seed), kind, storing).broken
+        broken = rollout_simulation.play(rollout_simulation.draw(seed), kind, storing).broken
     except (AssertionError, PlayTimeoutError) as error:
         broken = [type(error).__name__]
     finally:
@@ -84,10 +90,10 @@
 
 
 def planted(count: int, jobs: int) -> None:
-    kinds = planted_agree.agents()
+    kinds = rollout_mutants.agents()
     with Pool(jobs) as pool:
         rows = pool.map(caught, [(n, s) for n in range(len(kinds)) for s in range(count)], chunksize=5)
-        ways = pool.map(walked, [(n, s) for n in range(len(planted_agree.NODES)) for s in range(5 * count)])
+        ways = pool.map(walked, [(n, s) for n in range(len(rollout_mutants.NODES)) for s in range(5 * count)])
     for index, (name, _, _) in enumerate(kinds):
         texts = [text for n, text in rows if n == index and text]
         walks = sum(hit for n, hit in ways if n == index)
@@ -98,9 +104,9 @@
 
 def walked(job: tuple[int, int]) -> tuple[int, bool]:
     index, seed = job
-    kind = planted_agree.NODES[index] if index >= 0 else Node
+    kind = rollout_mutants.NODES[index] if index >= 0 else Node
     begin = "uneven" if seed % 3 == 0 else "stands"
-    return index, bool(explored.walk(seed, kind=kind, begin=begin, voters=5 if seed % 4 == 3 else 3))
+    return index, bool(raft_exploration.walk(seed, kind=kind, begin=begin, voters=5 if seed % 4 == 3 else 3))
 
 
 def walks(count: int, jobs: int) -> int:
@@ -112,7 +118,7 @@
 
 def judged(job: tuple[int, float, float, int]) -> int | None:
     seed, fail, slow, changed = job
-    return gated.alarm(seed, fail, slow, changed, proxies=24)
+    return gate_simulation.alarm(seed, fail, slow, changed, proxies=24)
 
 
 def gate(count: int, jobs: int) -> None:
@@ -241,7 +247,7 @@
     seed, jobs, members = job
     slot = 10_000 + (os.getpid() % (3 * jobs)) * (22_000 // (3 * jobs))
     with tempfile.TemporaryDirectory() as folder:
-        record = agreed_stage.play(agreed_stage.draw(seed, members), Path(folder), slot)
+        record = rollout_fault_runner.play(rollout_fault_runner.draw(seed, members), Path(folder), slot)
     return seed, record.broken, record.settled, record.clients.get("came", 0)
 
 
@@ -278,7 +284,7 @@
         case "planted":
             planted(given.count or 60, given.jobs)
         case "explore":
-            found = explored.explore(depth=given.depth, most=10_000_000)
+            found = raft_exploration.explore(depth=given.depth, most=10_000_000)
             print(f"{found.states} states to depth {found.depth}; broken: {found.broken or 'none'}")
         case "walks":
             raise SystemExit(bool(walks(given.count or 2000, given.jobs)))
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -387,7 +387,7 @@
 
 
 def agreed(proxies: int, seed: int) -> Found:
-    from arrowseam.lab.agreed import Schedule, World
+    from arrowseam.lab.rollout_simulation import Schedule, World
     from arrowseam.rollouts.budgets import Resource
     from arrowseam.rollouts.commands import Drain, PlanRelease, encoder
     from arrowseam.rollouts.messages import encode_message
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -27,8 +27,8 @@
     Voter,
 )
 from arrowseam.consensus.node import Node, Role
-from arrowseam.lab import agreed, explored, gated, planted_agree
-from arrowseam.lab.agreed import Schedule, Step
+from arrowseam.lab import gate_simulation, raft_exploration, rollout_mutants, rollout_simulation
+from arrowseam.lab.rollout_simulation import Schedule, Step
 from arrowseam.rollouts import gates
 from arrowseam.rollouts.agent import Agent, AgentSettings
 from arrowseam.rollouts.budgets import Resource, ResourceKind, budget_violation, totals_of
@@ -342,7 +342,7 @@
 
 def test_exhaustive_exploration_of_a_small_configuration() -> None:
     """Explores every order of deliveries, losses, timeouts and crashes up to a number of steps."""
-    found = explored.explore(voters=3, depth=4, proposals=2, crashes=1)
+    found = raft_exploration.explore(voters=3, depth=4, proposals=2, crashes=1)
     assert found.broken == []
     assert found.states > 1000
 
@@ -444,9 +444,9 @@
 
 
 def test_gates_alarm_on_worse_proxies_and_rarely_otherwise() -> None:
-    assert sum(gated.alarm(seed) is not None for seed in range(40)) <= 2
-    assert all((gated.alarm(seed, fail=30) or 99) <= 15 for seed in range(5))
-    assert all((gated.alarm(seed, slow=0.4) or 99) <= 15 for seed in range(5))
+    assert sum(gate_simulation.alarm(seed) is not None for seed in range(40)) <= 2
+    assert all((gate_simulation.alarm(seed, fail=30) or 99) <= 15 for seed in range(5))
+    assert all((gate_simulation.alarm(seed, slow=0.4) or 99) <= 15 for seed in range(5))
 
 
 def test_a_gate_without_enough_baseline_data_never_alarms() -> None:
@@ -461,12 +461,12 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_random_schedules(seed: int) -> None:
-    verdict = agreed.play(agreed.draw(seed))
+    verdict = rollout_simulation.play(rollout_simulation.draw(seed))
     assert verdict.broken == []
 
 
 def test_a_schedule_is_deterministic() -> None:
-    first, second = (agreed.play(agreed.draw(7)) for _ in range(2))
+    first, second = (rollout_simulation.play(rollout_simulation.draw(7)) for _ in range(2))
     assert first == second
     assert first.messages > 100
 
@@ -474,7 +474,7 @@
 def test_random_schedules_cover_every_kind_of_decision() -> None:
     counts = Counter[str]()
     for seed in range(25):
-        counts += agreed.play(agreed.draw(seed)).counts
+        counts += rollout_simulation.play(rollout_simulation.draw(seed)).counts
     assert all(
         counts[command] >= 5 for command in ("grant", "return", "drain", "safe", "plan", "advance", "limit")
     )
@@ -491,18 +491,21 @@
 
 @pytest.mark.parametrize("name", FAULT_SEEDS)
 def test_random_schedules_catch_a_planted_fault(name: str) -> None:
-    kind, storage_kind = next((k, s) for n, k, s in planted_agree.agents() if n == name)
-    assert any(agreed.play(agreed.draw(seed), kind, storage_kind).broken for seed in FAULT_SEEDS[name])
+    kind, storage_kind = next((k, s) for n, k, s in rollout_mutants.agents() if n == name)
+    assert any(
+        rollout_simulation.play(rollout_simulation.draw(seed), kind, storage_kind).broken
+        for seed in FAULT_SEEDS[name]
+    )
 
 
 def test_random_walks_keep_committed_entries() -> None:
-    assert [explored.walk(seed) for seed in range(100)] == [[]] * 100
+    assert [raft_exploration.walk(seed) for seed in range(100)] == [[]] * 100
 
 
 @pytest.mark.parametrize("name", WALK_SEEDS)
 def test_random_walks_catch_a_planted_fault(name: str) -> None:
-    kind = next(k for k in planted_agree.NODES if k.__name__ == name)
-    assert any(explored.walk(seed, kind=kind) for seed in WALK_SEEDS[name])
+    kind = next(k for k in rollout_mutants.NODES if k.__name__ == name)
+    assert any(raft_exploration.walk(seed, kind=kind) for seed in WALK_SEEDS[name])
 
 
 RELEASE_SCHEDULE = Schedule(5, 6, 3, True, steps=[Step(0, "release", ("p1",), text="good", number=1)])
@@ -510,7 +513,7 @@
 
 def test_random_walks_catch_votes_that_are_kept_in_memory_only() -> None:
     """With terms and votes kept only in memory, a crash can lead to two leaders in one term."""
-    assert any(explored.walk(seed, forgets=True) for seed in range(400))
+    assert any(raft_exploration.walk(seed, forgets=True) for seed in range(400))
 
 
 def elected_leader(kind: type[Node], entries: list[Entry], names=("a", "b", "c")) -> Node:
@@ -571,10 +574,10 @@
 @pytest.mark.parametrize(
     ("check", "correct", "faulty"),
     [
-        (entries_of_older_terms_are_not_committed_by_counting, Node, planted_agree.OldTermCounted),
-        (voters_change_one_at_a_time, Node, planted_agree.ManyChangesAtOnce),
-        (an_epoch_started_by_an_operator_replaces_the_previous_one, Node, planted_agree.OldEpochGoesOn),
-        (the_state_checks_budgets_again, ReplicatedState, planted_agree.BudgetNotReckonedAgain),
+        (entries_of_older_terms_are_not_committed_by_counting, Node, rollout_mutants.OldTermCounted),
+        (voters_change_one_at_a_time, Node, rollout_mutants.ManyChangesAtOnce),
+        (an_epoch_started_by_an_operator_replaces_the_previous_one, Node, rollout_mutants.OldEpochGoesOn),
+        (the_state_checks_budgets_again, ReplicatedState, rollout_mutants.BudgetNotReckonedAgain),
     ],
     ids=lambda x: x.__name__,
 )
@@ -598,15 +601,18 @@
     ],
 )
 def test_a_specific_schedule_catches_a_planted_fault(name: str, steps: list[Step]) -> None:
-    kind = next(k for n, k, _ in planted_agree.agents() if n == name)
+    kind = next(k for n, k, _ in rollout_mutants.agents() if n == name)
     schedule = Schedule(5, 6, 3, True, steps=steps)
-    assert agreed.play(schedule).broken == []
-    assert agreed.play(schedule, kind).broken
+    assert rollout_simulation.play(schedule).broken == []
+    assert rollout_simulation.play(schedule, kind).broken
 
 
 def test_a_holder_that_knows_of_a_halt_returns_its_permit_unused() -> None:
     """The grant was in transit when the halt was announced; a holder that ignores the halt goes out."""
-    for kind, executions in ((Agent, 0), (planted_agree.made_of(holder=planted_agree.HolderIgnoresHalts), 1)):
+    for kind, executions in (
+        (Agent, 0),
+        (rollout_mutants.made_of(holder=rollout_mutants.HolderIgnoresHalts), 1),
+    ):
         agent = kind("p0", 1, 7, AgentSettings(voters=("v",)), random.Random(1))
         agent.start(0, 0)
         replicated = state_with_budgets()
@@ -643,12 +649,12 @@
 
 
 def test_a_good_release_completes_and_a_bad_one_is_halted() -> None:
-    verdict = agreed.play(RELEASE_SCHEDULE)
+    verdict = rollout_simulation.play(RELEASE_SCHEDULE)
     assert verdict.broken == []
     assert verdict.counts["advance"] == 4
     assert verdict.counts["grant"] == 6
     bad_release = Schedule(5, 6, 3, True, steps=[Step(0, "release", ("p1",), text="s1", number=0.5)])
-    verdict = agreed.play(bad_release)
+    verdict = rollout_simulation.play(bad_release)
     assert verdict.broken == []
     assert verdict.counts["halt"] == 1
     assert verdict.counts["grant"] == 1
