--- a/arrowseam/lab/rollout_simulation.py
+++ b/arrowseam/lab/rollout_simulation.py
@@ -123,7 +123,7 @@
 class Process:
     name: str
     agent: Agent
-    life: int
+    start_number: int
     alive: bool = True
     serving: bool = False
     digest: str = ""
@@ -139,7 +139,7 @@
     woken: int = 0
 
 
-class World(EventQueue):
+class RolloutSimulation(EventQueue):
     def __init__(
         self, schedule: Schedule, agent: type[Agent] = Agent, storing: str = "", **settings: Any
     ) -> None:
@@ -162,8 +162,8 @@
         self.disk_delay = 3 * MS
         self.disks = {name: Disk() for name in self.names}
         self.running: dict[str, Process] = {}
-        self.ended_life: dict[str, int] = {}
-        self.lives = 0
+        self.ended_start_number: dict[str, int] = {}
+        self.starts = 0
         self.away: dict[str, int] = {}  # since when a process has not run or has stood still
         self.referee = Referee(self)
         self.answers: list[tuple[str, str, str]] = []
@@ -180,7 +180,7 @@
     def start(self, name: str, digest: str = "") -> None:
         if name in self.running:
             return
-        self.lives += 1
+        self.starts += 1
         kept: Checkpoint | None = None
         if self.schedule.disk and name in self.voters:
             kept = replay(self.disks[name].synced)
@@ -188,9 +188,9 @@
         rnd = random.Random(self.rnd.getrandbits(60))
         standing = dict.fromkeys(self.servers, 0)
         nonce, keeps = self.rnd.getrandbits(50), self.schedule.disk
-        agent = self.kind(name, self.lives, nonce, settings, rnd, kept, digest, keeps, standing.__getitem__)
+        agent = self.kind(name, self.starts, nonce, settings, rnd, kept, digest, keeps, standing.__getitem__)
         self.referee.listen(name, agent)
-        process = self.running[name] = Process(name, agent, self.lives, began=self.now)
+        process = self.running[name] = Process(name, agent, self.starts, began=self.now)
         self.away.pop(name, None)
         self.apart_at = self.now
         process.standing = standing
@@ -212,7 +212,7 @@
             return
         process.alive = False
         self.away[name] = self.now
-        self.ended_life[name] = process.life
+        self.ended_start_number[name] = process.start_number
         disk = self.disks[name]
         if how == "torn" and disk.pending:
             records = [record for _, part in disk.pending for record in part]
@@ -359,7 +359,7 @@
             act()
 
     def _again(self, process: Process) -> None:
-        """A restart under a permit: a new life of the same name."""
+        """A restart under a permit: a new process of the same name."""
         if not process.alive:
             return
         if process.stalled_until > self.now:
@@ -418,9 +418,9 @@
             )
             since = self.away.get(name)
             here = reached and (since is None or self.now - since < LATE) and other is not None
-            life = other.life if other is not None else self.ended_life.get(name, 0)
+            start_number = other.start_number if other is not None else self.ended_start_number.get(name, 0)
             ended = other is None and reached
-            proxies[name] = ObservedProxy(Resource(name, self.zones[name]), life, here, ended)
+            proxies[name] = ObservedProxy(Resource(name, self.zones[name]), start_number, here, ended)
             if here:
                 process.missing_since.pop(name, None)
             else:
@@ -463,7 +463,7 @@
 
     # --- operators ----------------------------------------------------------------------------------------
 
-    def say(self, name: str, command: Command) -> None:
+    def submit(self, name: str, command: Command) -> None:
         process = self.running.get(name)
         if process is None or process.stalled_until > self.now:
             return
@@ -509,20 +509,20 @@
                 self.down_since.setdefault(step.text, self.now)
                 self.at(self.now + step.span, lambda: self._up(step.text))
             case "drain":
-                self.say(one, Drain(endpoint=self.servers[step.text], by=one))
+                self.submit(one, Drain(endpoint=self.servers[step.text], by=one))
             case "drain zone":
                 for resource in self.servers.values():
                     if resource.zone == "a":
-                        self.say(one, Drain(endpoint=resource, by=one))
+                        self.submit(one, Drain(endpoint=resource, by=one))
             case "undrain":
-                self.say(one, Undrain(endpoint=step.text, by=one))
+                self.submit(one, Undrain(endpoint=step.text, by=one))
             case "release" | "restart":
                 message = step.text if step.number != 0.5 else "breaks"
                 bundle = f"{message}:{step.at}".encode() if step.what == "release" else b""
                 kind = "settings" if bundle else "restart"
                 plan = PlanRelease(kind=kind, bundle=bundle, waves=plan_waves(self.names), soak_s=0.5,
                             timeout_s=20.0, gated=False, by=one)  # fmt: skip
-                self.say(one, plan)
+                self.submit(one, plan)
                 for pause in (1, 3, 6):
                     self.at(self.now + pause * SECOND, lambda: self._start_planned(one))
             case "halt":
@@ -530,9 +530,9 @@
             case "resume":
                 self._resume_release(one, release)
             case "back":
-                self.say(one, RollBackRelease(release_id=release, by=one))
+                self.submit(one, RollBackRelease(release_id=release, by=one))
             case "cancel":
-                self.say(one, CancelRelease(release_id=release, by=one))
+                self.submit(one, CancelRelease(release_id=release, by=one))
             case "budget":
                 budgets = DisruptionBudgets(
                     proxies=max(1, int(step.number)), servers=max(1, int(step.number))
@@ -551,7 +551,7 @@
         process = self.running.get(one)
         release = process.agent.replicated.current_release if process is not None else None
         if release is not None and release.state == ReleaseState.PLANNED:
-            self.say(one, StartRelease(release_id=release.id, by=one))
+            self.submit(one, StartRelease(release_id=release.id, by=one))
 
     def _halt(self, one: str, release: int) -> None:
         process = self.running.get(one)
@@ -564,13 +564,13 @@
         process = self.running.get(one)
         if process is not None and release:
             stamp, by = process.marks.get(release, (0, ""))
-            self.say(one, ResumeRelease(release_id=release, halt_stamp=stamp, halted_by=by, by=one))
+            self.submit(one, ResumeRelease(release_id=release, halt_stamp=stamp, halted_by=by, by=one))
 
 
 class Referee:
     """Judges by entries, disks, and who is out."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: RolloutSimulation) -> None:
         self.world = world
         self.broken: dict[str, None] = {}
         self.leaders: dict[tuple[Epoch, int], Voter] = {}
@@ -771,7 +771,7 @@
         if not act.permit_id:
             return
         permit = self.replicated.state.permits.get(act.permit_id)
-        key = self.epoch, act.permit_id, process.name, process.life
+        key = self.epoch, act.permit_id, process.name, process.start_number
         if process.agent.epoch != self.epoch:
             return  # what an operator's reset left behind
         if permit is None or permit.resource.name != process.name:
@@ -779,8 +779,8 @@
             return
         if key in self.used:
             self.fault(f"{process.name} uses a permit twice")
-        if process.life < permit.started_at:
-            self.fault(f"{process.name}: a former life uses a permit")
+        if process.start_number < permit.started_at:
+            self.fault(f"{process.name}: an earlier process uses a permit")
         release = self.replicated.state.releases.get(permit.release_id)
         if release is not None:
             mark = process.marks.get(release.id, (0, ""))
@@ -810,7 +810,7 @@
 
 def play(schedule: Schedule, agent: type[Agent] = Agent, storing: str = "") -> Verdict:
     """Play and judge."""
-    world = World(schedule, agent, storing)
+    world = RolloutSimulation(schedule, agent, storing)
     for name in world.names:
         world.start(name)
     world.run(SECOND)
@@ -850,7 +850,7 @@
     return Verdict(list(world.referee.broken), world.referee.counts, settled, world.sent, lost)
 
 
-def stuck(world: World) -> bool:
+def stuck(world: RolloutSimulation) -> bool:
     """Whether no majority of the voters of any configuration that could decide has its state: an operator has
     to say ``agree reset``."""
     voters = [p.agent.node for p in world.running.values() if p.agent.node is not None]
@@ -859,7 +859,7 @@
     return not any(2 * sum(other.identity in n.voters for other in inside) > len(n.voters) for n in inside)
 
 
-def unfinished(world: World) -> str:
+def unfinished(world: RolloutSimulation) -> str:
     leaders = [p.agent for p in world.running.values() if p.agent.is_leader]
     if not leaders:
         return "no leader"
@@ -893,6 +893,6 @@
     return "" if names == set(world.names) else "processes are missing"
 
 
-def finished(world: World) -> bool:
+def finished(world: RolloutSimulation) -> bool:
     """Each plan is done, halted with a reason, or back; each drain is safe or waits behind others."""
     return not unfinished(world)
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -387,14 +387,14 @@
 
 
 def agreed(proxies: int, seed: int) -> Found:
-    from arrowseam.lab.rollout_simulation import Schedule, World
+    from arrowseam.lab.rollout_simulation import RolloutSimulation, Schedule
     from arrowseam.rollouts.budgets import Resource
     from arrowseam.rollouts.commands import Drain, PlanRelease, encoder
     from arrowseam.rollouts.messages import encode_message
     from arrowseam.rollouts.observed import ClusterState, ObservedEndpoint, ObservedProxy
     from arrowseam.rollouts.release_plan import plan_waves
 
-    class Votes(World):
+    class Votes(RolloutSimulation):
         def __init__(self, *given: Any, **fields: Any) -> None:
             self.went: Counter[str] = Counter()
             self.came: Counter[str] = Counter()
@@ -406,7 +406,7 @@
             """The same for all: everybody is there. Made once, since no view makes it here."""
             if self.seen is None or len(self.seen.proxies) != len(self.running):
                 here = {
-                    n: ObservedProxy(Resource(n, self.zones[n]), p.life, True, False)
+                    n: ObservedProxy(Resource(n, self.zones[n]), p.start_number, True, False)
                     for n, p in self.running.items()
                 }
                 servers = {name: ObservedEndpoint(seen, True) for name, seen in self.servers.items()}
@@ -462,7 +462,7 @@
     }
     world.clear()
     before = world.running[leader].agent.replicated.index
-    world.say(leader, Drain(endpoint=world.servers["s0"], by=leader))
+    world.submit(leader, Drain(endpoint=world.servers["s0"], by=leader))
     took = world.until(
         lambda: all(p.agent.replicated.index > before for p in world.running.values()), 10 * SECOND, 20 * MS
     )
@@ -473,7 +473,7 @@
     names = [f"eu-1-proxy-{n:05d}" for n in range(proxies)]
     plan = PlanRelease(kind="settings", bundle=bytes(2048), waves=plan_waves(names), by=leader)
     found["agree.plan.bytes"] = float(len(encoder.encode(plan)))
-    world.say(leader, plan)
+    world.submit(leader, plan)
     world.run(world.now + 2 * SECOND)
     found["agree.state.bytes"] = float(len(world.running[leader].agent.replicated.save()))
     return found
