--- a/arrowseam/lab/raft_exploration.py
+++ b/arrowseam/lab/raft_exploration.py
@@ -44,7 +44,7 @@
     committed: dict[int, Entry] = field(default_factory=dict)
     proposed: int = 0
     crashed: int = 0
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     def clone(self) -> State:
         return State(
@@ -52,7 +52,7 @@
             {name: list(disk) for name, disk in self.disks.items()},
             {name: list(rows) for name, rows in self.pending.items()},
             list(self.flying), dict(self.leaders), dict(self.committed), self.proposed, self.crashed,
-            list(self.broken),
+            list(self.violations),
         )  # fmt: skip
 
     def key(self) -> int:
@@ -89,12 +89,12 @@
         voters: int = 3,
         proposals: int = 2,
         crashes: int = 1,
-        kind: type[Node] = Node,
-        forgets: bool = False,
+        node_type: type[Node] = Node,
+        loses_votes: bool = False,
     ) -> None:
-        """``forgets``, planted: terms and votes are not written to the disks."""
-        self.forgets = forgets
-        self.kind, self.proposals, self.crashes = kind, proposals, crashes
+        """``loses_votes``, planted: terms and votes are not written to the disks."""
+        self.loses_votes = loses_votes
+        self.node_type, self.proposals, self.crashes = node_type, proposals, crashes
         self.names = tuple("abcde"[:voters])
         self.voters = tuple(Voter(name, 1) for name in self.names)
 
@@ -106,7 +106,7 @@
             entries = [Entry(1, EntryKind.COMMAND, b"old")] if uneven and voter.name != "a" else []
             whole = Checkpoint(HardState(EPOCH, voter, term, None), base, entries)
             state.disks[voter.name] = [whole]
-            state.nodes[voter.name] = self.kind(voter, whole, self.names)
+            state.nodes[voter.name] = self.node_type(voter, whole, self.names)
         return state
 
     def _do(self, state: State, name: str, asked: list[effects.Effect]) -> None:
@@ -119,10 +119,10 @@
                     state.pending[name].append((token, records))
                 case effects.Commit(index, entry):
                     if state.committed.setdefault(index, entry) != entry:
-                        state.broken.append(f"two entries committed at {index}")
+                        state.violations.append(f"two entries committed at {index}")
         node = state.nodes[name]
         if node.role is Role.LEADER and state.leaders.setdefault(node.term, name) != name:
-            state.broken.append(f"two leaders of term {node.term}")
+            state.violations.append(f"two leaders of term {node.term}")
 
     def steps(self, state: State) -> Iterator[tuple[str, Any]]:
         seen = set()
@@ -149,7 +149,9 @@
                 self._do(state, to, state.nodes[to].on_message(message))
             case "sync":
                 token, records = state.pending[which].pop(0)
-                state.disks[which] += [k for k in records if not (self.forgets and isinstance(k, HardState))]
+                state.disks[which] += [
+                    k for k in records if not (self.loses_votes and isinstance(k, HardState))
+                ]
                 self._do(state, which, state.nodes[which].on_records_stored(token))
             case "elapsed":
                 self._do(state, which, state.nodes[which].on_election_timeout())
@@ -163,15 +165,15 @@
                 held = replay(state.disks[which])
                 state.disks[which] = [held] if held is not None else []
                 me = Voter(which, 1)
-                state.nodes[which] = self.kind(me, held, self.names)
+                state.nodes[which] = self.node_type(me, held, self.names)
         return state
 
 
 @dataclass
-class Found:
+class ExplorationResult:
     states: int
     depth: int
-    broken: list[str]
+    violations: list[str]
 
 
 def explore(
@@ -179,15 +181,15 @@
     depth: int = 6,
     proposals: int = 2,
     crashes: int = 1,
-    kind: type[Node] = Node,
-    most: int = 1_000_000,
-    begin: str = "stands",
-) -> Found:
-    """Breadth first. ``begin``: ``stands`` (a has asked for votes and all have said yes), ``uneven`` (the
+    node_type: type[Node] = Node,
+    max_states: int = 1_000_000,
+    initial: str = "stands",
+) -> ExplorationResult:
+    """Breadth first. ``initial``: ``stands`` (a has asked for votes and all have said yes), ``uneven`` (the
     others have an entry of an older term beside)."""
-    explorer = Explorer(voters, proposals, crashes, kind)
-    state = explorer.begin(uneven=begin == "uneven")
-    if begin == "stands":
+    explorer = Explorer(voters, proposals, crashes, node_type)
+    state = explorer.begin(uneven=initial == "uneven")
+    if initial == "stands":
         state = explorer.step(state, "elapsed", "a")
         while any(n.role is not Role.LEADER for n in [state.nodes["a"]]):
             found = [(w, x) for w, x in explorer.steps(state) if w in ("sync", "deliver")]
@@ -198,30 +200,30 @@
         for one in layer:
             for what, which in explorer.steps(one):
                 after = explorer.step(one, what, which)
-                if after.broken:
-                    return Found(len(seen), level + 1, after.broken)
+                if after.violations:
+                    return ExplorationResult(len(seen), level + 1, after.violations)
                 key = after.key()
                 if key not in seen:
                     seen.add(key)
                     fresh.append(after)
-            if len(seen) > most:
-                return Found(len(seen), level, [])
+            if len(seen) > max_states:
+                return ExplorationResult(len(seen), level, [])
         layer = fresh
-    return Found(len(seen), depth, [])
+    return ExplorationResult(len(seen), depth, [])
 
 
 def walk(
     seed: int,
     steps: int = 120,
     voters: int = 3,
-    kind: type[Node] = Node,
-    begin: str = "stands",
-    forgets: bool = False,
+    node_type: type[Node] = Node,
+    initial: str = "stands",
+    loses_votes: bool = False,
 ) -> list[str]:
     """One way through far more steps, drawn from a seed; what was broken on it."""
     rnd = random.Random(seed)
-    explorer = Explorer(voters, proposals=6, crashes=6, kind=kind, forgets=forgets)
-    state = explorer.begin(uneven=begin == "uneven")
+    explorer = Explorer(voters, proposals=6, crashes=6, node_type=node_type, loses_votes=loses_votes)
+    state = explorer.begin(uneven=initial == "uneven")
     for _ in range(steps):
         found = list(explorer.steps(state))
         what, which = rnd.choices(found, [WEIGHTS[what] for what, _ in found])[0]
@@ -231,6 +233,6 @@
             return [str(error)]
         if len(state.flying) > 12:  # lost
             state.flying.pop(rnd.randrange(len(state.flying)))
-        if state.broken:
-            return state.broken
+        if state.violations:
+            return state.violations
     return []
--- a/arrowseam/lab/rollout_simulation.py
+++ b/arrowseam/lab/rollout_simulation.py
@@ -572,7 +572,7 @@
 
     def __init__(self, world: RolloutSimulation) -> None:
         self.world = world
-        self.broken: dict[str, None] = {}
+        self.violations: dict[str, None] = {}
         self.leaders: dict[tuple[Epoch, int], Voter] = {}
         self.entries: dict[tuple[Epoch, int], messages.Entry] = {}
         self.states: dict[tuple[Epoch, int], bytes] = {}
@@ -589,7 +589,7 @@
         self.peak = 0
 
     def fault(self, text: str) -> None:
-        self.broken.setdefault(text)
+        self.violations.setdefault(text)
 
     def latest(self) -> ReplicatedState:
         return self.replicated
@@ -801,7 +801,7 @@
 
 @dataclass
 class Verdict:
-    broken: list[str]
+    violations: list[str]
     counts: Counter[str]
     settled: int | None
     messages: int
@@ -847,7 +847,7 @@
     settled = world.until(lambda: finished(world), 90 * SECOND, 200 * MS)
     if settled is None:
         world.referee.fault(f"not finished 90 s after the last fault: {unfinished(world)}")
-    return Verdict(list(world.referee.broken), world.referee.counts, settled, world.sent, lost)
+    return Verdict(list(world.referee.violations), world.referee.counts, settled, world.sent, lost)
 
 
 def stuck(world: RolloutSimulation) -> bool:
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -44,7 +44,7 @@
 
 def play(seed: int) -> tuple[int, list[str], Counter[str], int | None, bool]:
     verdict = rollout_simulation.play(rollout_simulation.draw(seed))
-    return seed, verdict.broken, verdict.counts, verdict.settled, verdict.lost
+    return seed, verdict.violations, verdict.counts, verdict.settled, verdict.lost
 
 
 def schedules(count: int, first: int, jobs: int) -> int:
@@ -81,7 +81,7 @@
     signal.signal(signal.SIGALRM, _late)
     signal.alarm(8)  # a fault that makes it go round and round is found too
     try:
-        broken = rollout_simulation.play(rollout_simulation.draw(seed), kind, storing).broken
+        broken = rollout_simulation.play(rollout_simulation.draw(seed), kind, storing).violations
     except (AssertionError, PlayTimeoutError) as error:
         broken = [type(error).__name__]
     finally:
@@ -105,8 +105,10 @@
 def walked(job: tuple[int, int]) -> tuple[int, bool]:
     index, seed = job
     kind = rollout_mutants.NODES[index] if index >= 0 else Node
-    begin = "uneven" if seed % 3 == 0 else "stands"
-    return index, bool(raft_exploration.walk(seed, kind=kind, begin=begin, voters=5 if seed % 4 == 3 else 3))
+    initial = "uneven" if seed % 3 == 0 else "stands"
+    return index, bool(
+        raft_exploration.walk(seed, node_type=kind, initial=initial, voters=5 if seed % 4 == 3 else 3)
+    )
 
 
 def walks(count: int, jobs: int) -> int:
@@ -284,8 +286,8 @@
         case "planted":
             planted(given.count or 60, given.jobs)
         case "explore":
-            found = raft_exploration.explore(depth=given.depth, most=10_000_000)
-            print(f"{found.states} states to depth {found.depth}; broken: {found.broken or 'none'}")
+            found = raft_exploration.explore(depth=given.depth, max_states=10_000_000)
+            print(f"{found.states} states to depth {found.depth}; broken: {found.violations or 'none'}")
         case "walks":
             raise SystemExit(bool(walks(given.count or 2000, given.jobs)))
         case "gates":
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -343,7 +343,7 @@
 def test_exhaustive_exploration_of_a_small_configuration() -> None:
     """Explores every order of deliveries, losses, timeouts and crashes up to a number of steps."""
     found = raft_exploration.explore(voters=3, depth=4, proposals=2, crashes=1)
-    assert found.broken == []
+    assert found.violations == []
     assert found.states > 1000
 
 
@@ -462,7 +462,7 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_random_schedules(seed: int) -> None:
     verdict = rollout_simulation.play(rollout_simulation.draw(seed))
-    assert verdict.broken == []
+    assert verdict.violations == []
 
 
 def test_a_schedule_is_deterministic() -> None:
@@ -493,7 +493,7 @@
 def test_random_schedules_catch_a_planted_fault(name: str) -> None:
     kind, storage_kind = next((k, s) for n, k, s in rollout_mutants.agents() if n == name)
     assert any(
-        rollout_simulation.play(rollout_simulation.draw(seed), kind, storage_kind).broken
+        rollout_simulation.play(rollout_simulation.draw(seed), kind, storage_kind).violations
         for seed in FAULT_SEEDS[name]
     )
 
@@ -505,7 +505,7 @@
 @pytest.mark.parametrize("name", WALK_SEEDS)
 def test_random_walks_catch_a_planted_fault(name: str) -> None:
     kind = next(k for k in rollout_mutants.NODES if k.__name__ == name)
-    assert any(raft_exploration.walk(seed, kind=kind) for seed in WALK_SEEDS[name])
+    assert any(raft_exploration.walk(seed, node_type=kind) for seed in WALK_SEEDS[name])
 
 
 RELEASE_SCHEDULE = Schedule(5, 6, 3, True, steps=[Step(0, "release", ("p1",), text="good", number=1)])
@@ -513,7 +513,7 @@
 
 def test_random_walks_catch_votes_that_are_kept_in_memory_only() -> None:
     """With terms and votes kept only in memory, a crash can lead to two leaders in one term."""
-    assert any(raft_exploration.walk(seed, forgets=True) for seed in range(400))
+    assert any(raft_exploration.walk(seed, loses_votes=True) for seed in range(400))
 
 
 def elected_leader(kind: type[Node], entries: list[Entry], names=("a", "b", "c")) -> Node:
@@ -603,8 +603,8 @@
 def test_a_specific_schedule_catches_a_planted_fault(name: str, steps: list[Step]) -> None:
     kind = next(k for n, k, _ in rollout_mutants.agents() if n == name)
     schedule = Schedule(5, 6, 3, True, steps=steps)
-    assert rollout_simulation.play(schedule).broken == []
-    assert rollout_simulation.play(schedule, kind).broken
+    assert rollout_simulation.play(schedule).violations == []
+    assert rollout_simulation.play(schedule, kind).violations
 
 
 def test_a_holder_that_knows_of_a_halt_returns_its_permit_unused() -> None:
@@ -650,11 +650,11 @@
 
 def test_a_good_release_completes_and_a_bad_one_is_halted() -> None:
     verdict = rollout_simulation.play(RELEASE_SCHEDULE)
-    assert verdict.broken == []
+    assert verdict.violations == []
     assert verdict.counts["advance"] == 4
     assert verdict.counts["grant"] == 6
     bad_release = Schedule(5, 6, 3, True, steps=[Step(0, "release", ("p1",), text="s1", number=0.5)])
     verdict = rollout_simulation.play(bad_release)
-    assert verdict.broken == []
+    assert verdict.violations == []
     assert verdict.counts["halt"] == 1
     assert verdict.counts["grant"] == 1
