--- a/arrowseam/lab/rollout_mutants.py
+++ b/arrowseam/lab/rollout_mutants.py
@@ -35,7 +35,7 @@
 # --- the log ------------------------------------------------------------------------------------------------
 
 
-class OldTermCounted(Node):
+class CommitsOldTermsByCount(Node):
     """An entry of an older term is committed by counting who has it."""
 
     def _advance_commit_index(self) -> None:
@@ -48,7 +48,7 @@
                 break
 
 
-class CountsItselfEarly(Node):
+class CountsUnstoredEntries(Node):
     """A leader counts itself for entries that it has not stored."""
 
     def _advance_commit_index(self) -> None:
@@ -56,14 +56,14 @@
         super()._advance_commit_index()
 
 
-class AnswersEarly(Node):
+class RepliesBeforeStoring(Node):
     """Votes and acknowledgements go out before what they rest on is stored."""
 
     def _send_when_stored(self, to: str, what: RaftMessage) -> None:
         self._send(to, what)
 
 
-class ForgottenVotes(Node):
+class VotesAfterStateLoss(Node):
     """Who has lost its state is taken for who it was."""
 
     def __init__(self, me: Voter, *rest: Any) -> None:
@@ -93,14 +93,14 @@
         super()._on_request_vote(message)
 
 
-class StaleVotes(Node):
+class VotesForStaleLogs(Node):
     """A vote is given to whoever asks, however little it has."""
 
     def _on_request_vote(self, message: RequestVote) -> None:
         super()._on_request_vote(msgspec.structs.replace(message, last_index=1 << 40, last_term=1 << 40))
 
 
-class ManyChangesAtOnce(Node):
+class OverlappingVoterChanges(Node):
     """Voters are changed before the last change is committed."""
 
     @property
@@ -108,7 +108,7 @@
         return True
 
 
-class KeepsWhatDiffers(Node):
+class KeepsConflictingEntries(Node):
     """A follower keeps its own entries where the leader's differ."""
 
     def _on_append_entries(self, message: AppendEntries) -> None:
@@ -126,14 +126,14 @@
         super()._on_append_entries(message)
 
 
-class MinorityCommits(Node):
+class HalfIsQuorum(Node):
     """Half of the voters are enough."""
 
     def _is_quorum(self, who: set[Voter]) -> bool:
         return 2 * len(who.intersection(self.voters)) >= len(self.voters)
 
 
-class OldEpochGoesOn(Node):
+class IgnoresNewEpochs(Node):
     """A history begun by hand is not preferred to the one before."""
 
     def on_message(self, message: RaftMessage) -> list[effects.Effect]:
@@ -154,7 +154,7 @@
             self.state.permits = held
 
 
-class BudgetNotReckonedAgain(ReplicatedState):
+class NoBudgetCheckOnApply(ReplicatedState):
     """What the leader proposed is taken as it is."""
 
     def _grant_permit(self, index: int, command: GrantPermit) -> str:
@@ -167,35 +167,35 @@
             self.state.budgets = budgets
 
 
-class BlindToProxies(ClusterState):
+class NoMissingProxies(ClusterState):
     """No proxy is seen to be missing."""
 
     def missing_proxies(self) -> tuple[Resource, ...]:
         return ()
 
 
-class BlindToEndpoints(ClusterState):
+class NoMissingEndpoints(ClusterState):
     """No endpoint is seen to be missing."""
 
     def missing_endpoints(self) -> tuple[Resource, ...]:
         return ()
 
 
-class GrantsWithoutLooking(Controller):
+class IgnoresMissingProxies(Controller):
     """Goes by the wants alone; the replicated state is left to refuse."""
 
     def decide(self, inputs: Inputs) -> Command | None:
-        return super().decide(replace(inputs, cluster=BlindToProxies(**vars(inputs.cluster))))
+        return super().decide(replace(inputs, cluster=NoMissingProxies(**vars(inputs.cluster))))
 
 
-class FailureNotCounted(Controller):
+class IgnoresMissingEndpoints(Controller):
     """Servers that are down by themselves are not counted."""
 
     def decide(self, inputs: Inputs) -> Command | None:
-        return super().decide(replace(inputs, cluster=BlindToEndpoints(**vars(inputs.cluster))))
+        return super().decide(replace(inputs, cluster=NoMissingEndpoints(**vars(inputs.cluster))))
 
 
-class PermitFreedByTime(Controller):
+class ReturnsPermitsByTime(Controller):
     """Who has been out for three seconds is taken for back."""
 
     def _return_permit(self, permit: Permit, inputs: Inputs) -> Command | None:
@@ -212,7 +212,7 @@
         return super()._halt_reason(release, replace(inputs, cluster=replace(inputs.cluster, halts={})))
 
 
-class EmptyByDefault(Controller):
+class UnreportedIsDrained(Controller):
     """Who says nothing of a server is taken to hold nothing there."""
 
     def _mark_drained(self, permit: Permit, inputs: Inputs) -> Command | None:
@@ -238,7 +238,7 @@
         return super().reconcile()
 
 
-class LaterLifeUsesPermit(PermitHolder):
+class LaterProcessUsesPermit(PermitHolder):
     """A life that has started since goes out once more."""
 
     def _handle_permit(self, permit_id: int) -> None:
@@ -258,7 +258,7 @@
         return self.submit(now, wall_ms, halt)[1]
 
 
-class DoneWhenBegun(PermitHolder):
+class ReportsDoneAtStart(PermitHolder):
     """Says that it is back as soon as it goes."""
 
     def _execute(self, effect: ExecutePermit) -> None:
@@ -268,7 +268,7 @@
             self.report_due = True
 
 
-def made_of(
+def agent_with(
     node: type[Node] | None = None,
     state: type[ReplicatedState] | None = None,
     controller: type[Controller] | None = None,
@@ -286,25 +286,26 @@
     return type(kind.__name__, (Agent,), {key: value for key, value in parts.items() if value is not None})
 
 
-NODES: tuple[type[Node], ...] = (
-    OldTermCounted, CountsItselfEarly, AnswersEarly, ForgottenVotes, VotesTwice, StaleVotes,
-    ManyChangesAtOnce, KeepsWhatDiffers, MinorityCommits, OldEpochGoesOn,
+NODE_MUTANTS: tuple[type[Node], ...] = (
+    CommitsOldTermsByCount, CountsUnstoredEntries, RepliesBeforeStoring, VotesAfterStateLoss, VotesTwice,
+    VotesForStaleLogs, OverlappingVoterChanges, KeepsConflictingEntries, HalfIsQuorum, IgnoresNewEpochs,
 )  # fmt: skip
-STATES: tuple[type[ReplicatedState], ...] = (SnapshotLosesPermits, BudgetNotReckonedAgain)
-CONTROLLERS: tuple[type[Controller], ...] = (
-    GrantsWithoutLooking, FailureNotCounted, PermitFreedByTime, LeaderIgnoresHalts, EmptyByDefault,
+STATE_MUTANTS: tuple[type[ReplicatedState], ...] = (SnapshotLosesPermits, NoBudgetCheckOnApply)
+CONTROLLER_MUTANTS: tuple[type[Controller], ...] = (
+    IgnoresMissingProxies, IgnoresMissingEndpoints, ReturnsPermitsByTime, LeaderIgnoresHalts,
+    UnreportedIsDrained,
 )  # fmt: skip
-AGENTS: tuple[type[Agent], ...] = (
-    made_of(holder=HolderIgnoresHalts), made_of(holder=UsesPermitsTwice),
-    made_of(holder=LaterLifeUsesPermit), HaltWaitsForQuorum, made_of(holder=DoneWhenBegun),
+AGENT_MUTANTS: tuple[type[Agent], ...] = (
+    agent_with(holder=HolderIgnoresHalts), agent_with(holder=UsesPermitsTwice),
+    agent_with(holder=LaterProcessUsesPermit), HaltWaitsForQuorum, agent_with(holder=ReportsDoneAtStart),
 )  # fmt: skip
-STORING = ("unsynced", "forgets votes")  # of the laboratory's disks
+STORAGE_FAULTS = ("unsynced", "forgets votes")  # of the laboratory's disks
 
 
-def agents() -> list[tuple[str, type[Agent], str]]:
+def all_mutants() -> list[tuple[str, type[Agent], str]]:
     """All of them: name, agent, and how its disk fails it."""
-    found = [(kind.__name__, made_of(node=kind), "") for kind in NODES]
-    found += [(kind.__name__, made_of(state=kind), "") for kind in STATES]
-    found += [(kind.__name__, made_of(controller=kind), "") for kind in CONTROLLERS]
-    found += [(kind.__name__, kind, "") for kind in AGENTS]
-    return found + [(f"disk {how}", Agent, how) for how in STORING]
+    found = [(kind.__name__, agent_with(node=kind), "") for kind in NODE_MUTANTS]
+    found += [(kind.__name__, agent_with(state=kind), "") for kind in STATE_MUTANTS]
+    found += [(kind.__name__, agent_with(controller=kind), "") for kind in CONTROLLER_MUTANTS]
+    found += [(kind.__name__, kind, "") for kind in AGENT_MUTANTS]
+    return found + [(f"disk {how}", Agent, how) for how in STORAGE_FAULTS]
--- a/arrowseam/lab/rollout_simulation.py
+++ b/arrowseam/lab/rollout_simulation.py
@@ -141,10 +141,10 @@
 
 class RolloutSimulation(EventQueue):
     def __init__(
-        self, schedule: Schedule, agent: type[Agent] = Agent, storing: str = "", **settings: Any
+        self, schedule: Schedule, agent: type[Agent] = Agent, storage_fault: str = "", **settings: Any
     ) -> None:
         super().__init__()
-        self.schedule, self.kind, self.storing = schedule, agent, storing
+        self.schedule, self.kind, self.storage_fault = schedule, agent, storage_fault
         self.rnd = random.Random(schedule.seed)
         self.names = [f"p{n}" for n in range(schedule.proxies)]
         self.voters = tuple(self.names[: schedule.voters])
@@ -307,21 +307,21 @@
     def _persist(self, process: Process, token: int, what: tuple[StoredRecord, ...]) -> None:
         disk = self.disks[process.name]
         disk.pending.append((token, what))
-        if self.storing == "unsynced":  # planted: answered before it is on the disk
+        if self.storage_fault == "unsynced":  # planted: answered before it is on the disk
             self._event(process, lambda: process.agent.on_records_stored(self.now, self.wall_ms, token))
 
         def synced() -> None:
             if process.alive and self.disks[process.name] is disk and disk.pending:
                 written = disk.pending[0][1]
                 self.referee.synced(process, written)
-                if self.storing == "forgets votes":  # planted: terms and votes stay in memory
+                if self.storage_fault == "forgets votes":  # planted: terms and votes stay in memory
                     written = tuple(k for k in written if not isinstance(k, messages.HardState))
                 disk.synced += written
                 disk.pending.pop(0)
                 if any(isinstance(k, Checkpoint) for k in disk.synced[:-1]):
                     last = max(n for n, k in enumerate(disk.synced) if isinstance(k, Checkpoint))
                     disk.synced = disk.synced[last:]
-                if self.storing != "unsynced":
+                if self.storage_fault != "unsynced":
                     self._event(
                         process, lambda: process.agent.on_records_stored(self.now, self.wall_ms, token)
                     )
@@ -808,9 +808,9 @@
     lost: bool  # no quorum had its state: an operator said reset
 
 
-def play(schedule: Schedule, agent: type[Agent] = Agent, storing: str = "") -> Verdict:
+def play(schedule: Schedule, agent: type[Agent] = Agent, storage_fault: str = "") -> Verdict:
     """Play and judge."""
-    world = RolloutSimulation(schedule, agent, storing)
+    world = RolloutSimulation(schedule, agent, storage_fault)
     for name in world.names:
         world.start(name)
     world.run(SECOND)
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -77,11 +77,11 @@
 
 def caught(job: tuple[int, int]) -> tuple[int, str]:
     index, seed = job
-    _, kind, storing = rollout_mutants.agents()[index]
+    _, kind, storage_fault = rollout_mutants.all_mutants()[index]
     signal.signal(signal.SIGALRM, _late)
     signal.alarm(8)  # a fault that makes it go round and round is found too
     try:
-        broken = rollout_simulation.play(rollout_simulation.draw(seed), kind, storing).violations
+        broken = rollout_simulation.play(rollout_simulation.draw(seed), kind, storage_fault).violations
     except (AssertionError, PlayTimeoutError) as error:
         broken = [type(error).__name__]
     finally:
@@ -90,10 +90,12 @@
 
 
 def planted(count: int, jobs: int) -> None:
-    kinds = rollout_mutants.agents()
+    kinds = rollout_mutants.all_mutants()
     with Pool(jobs) as pool:
         rows = pool.map(caught, [(n, s) for n in range(len(kinds)) for s in range(count)], chunksize=5)
-        ways = pool.map(walked, [(n, s) for n in range(len(rollout_mutants.NODES)) for s in range(5 * count)])
+        ways = pool.map(
+            walked, [(n, s) for n in range(len(rollout_mutants.NODE_MUTANTS)) for s in range(5 * count)]
+        )
     for index, (name, _, _) in enumerate(kinds):
         texts = [text for n, text in rows if n == index and text]
         walks = sum(hit for n, hit in ways if n == index)
@@ -104,7 +106,7 @@
 
 def walked(job: tuple[int, int]) -> tuple[int, bool]:
     index, seed = job
-    kind = rollout_mutants.NODES[index] if index >= 0 else Node
+    kind = rollout_mutants.NODE_MUTANTS[index] if index >= 0 else Node
     initial = "uneven" if seed % 3 == 0 else "stands"
     return index, bool(
         raft_exploration.walk(seed, node_type=kind, initial=initial, voters=5 if seed % 4 == 3 else 3)
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -481,17 +481,21 @@
 
 
 FAULT_SEEDS = {
-    "AnswersEarly": range(12), "MinorityCommits": range(12), "SnapshotLosesPermits": range(6),
-    "PermitFreedByTime": range(12), "EmptyByDefault": range(20), "UsesPermitsTwice": range(30),
-    "DoneWhenBegun": range(10), "disk unsynced": range(12), "GrantsWithoutLooking": range(40),
-    "CountsItselfEarly": range(40),
+    "RepliesBeforeStoring": range(12), "HalfIsQuorum": range(12), "SnapshotLosesPermits": range(6),
+    "ReturnsPermitsByTime": range(12), "UnreportedIsDrained": range(20), "UsesPermitsTwice": range(30),
+    "ReportsDoneAtStart": range(10), "disk unsynced": range(12), "IgnoresMissingProxies": range(40),
+    "CountsUnstoredEntries": range(40),
 }  # fmt: skip
-WALK_SEEDS = {"VotesTwice": range(100), "StaleVotes": range(100), "KeepsWhatDiffers": range(200)}
+WALK_SEEDS = {
+    "VotesTwice": range(100),
+    "VotesForStaleLogs": range(100),
+    "KeepsConflictingEntries": range(200),
+}
 
 
 @pytest.mark.parametrize("name", FAULT_SEEDS)
 def test_random_schedules_catch_a_planted_fault(name: str) -> None:
-    kind, storage_kind = next((k, s) for n, k, s in rollout_mutants.agents() if n == name)
+    kind, storage_kind = next((k, s) for n, k, s in rollout_mutants.all_mutants() if n == name)
     assert any(
         rollout_simulation.play(rollout_simulation.draw(seed), kind, storage_kind).violations
         for seed in FAULT_SEEDS[name]
@@ -504,7 +508,7 @@
 
 @pytest.mark.parametrize("name", WALK_SEEDS)
 def test_random_walks_catch_a_planted_fault(name: str) -> None:
-    kind = next(k for k in rollout_mutants.NODES if k.__name__ == name)
+    kind = next(k for k in rollout_mutants.NODE_MUTANTS if k.__name__ == name)
     assert any(raft_exploration.walk(seed, node_type=kind) for seed in WALK_SEEDS[name])
 
 
@@ -574,10 +578,10 @@
 @pytest.mark.parametrize(
     ("check", "correct", "faulty"),
     [
-        (entries_of_older_terms_are_not_committed_by_counting, Node, rollout_mutants.OldTermCounted),
-        (voters_change_one_at_a_time, Node, rollout_mutants.ManyChangesAtOnce),
-        (an_epoch_started_by_an_operator_replaces_the_previous_one, Node, rollout_mutants.OldEpochGoesOn),
-        (the_state_checks_budgets_again, ReplicatedState, rollout_mutants.BudgetNotReckonedAgain),
+        (entries_of_older_terms_are_not_committed_by_counting, Node, rollout_mutants.CommitsOldTermsByCount),
+        (voters_change_one_at_a_time, Node, rollout_mutants.OverlappingVoterChanges),
+        (an_epoch_started_by_an_operator_replaces_the_previous_one, Node, rollout_mutants.IgnoresNewEpochs),
+        (the_state_checks_budgets_again, ReplicatedState, rollout_mutants.NoBudgetCheckOnApply),
     ],
     ids=lambda x: x.__name__,
 )
@@ -597,11 +601,11 @@
     [
         ("HaltWaitsForQuorum", HALT_STEPS),
         ("LeaderIgnoresHalts", HALT_STEPS),
-        ("FailureNotCounted", ENDPOINT_DOWN_STEPS),
+        ("IgnoresMissingEndpoints", ENDPOINT_DOWN_STEPS),
     ],
 )
 def test_a_specific_schedule_catches_a_planted_fault(name: str, steps: list[Step]) -> None:
-    kind = next(k for n, k, _ in rollout_mutants.agents() if n == name)
+    kind = next(k for n, k, _ in rollout_mutants.all_mutants() if n == name)
     schedule = Schedule(5, 6, 3, True, steps=steps)
     assert rollout_simulation.play(schedule).violations == []
     assert rollout_simulation.play(schedule, kind).violations
@@ -611,7 +615,7 @@
     """The grant was in transit when the halt was announced; a holder that ignores the halt goes out."""
     for kind, executions in (
         (Agent, 0),
-        (rollout_mutants.made_of(holder=rollout_mutants.HolderIgnoresHalts), 1),
+        (rollout_mutants.agent_with(holder=rollout_mutants.HolderIgnoresHalts), 1),
     ):
         agent = kind("p0", 1, 7, AgentSettings(voters=("v",)), random.Random(1))
         agent.start(0, 0)
