--- a/arrowseam/lab/event_queue.py
+++ b/arrowseam/lab/event_queue.py
@@ -9,20 +9,20 @@
 
 
 class EventQueue:
-    """Events ordered by time, then by entry; times are microseconds from the run's start."""
+    """Events ordered by time, then by insertion; times are microseconds from the run's start."""
 
     def __init__(self) -> None:
         self.now = 0
-        self.order = 0
+        self.inserted = 0  # events so far; orders those of the same time
         self.events: list[tuple[int, int, Callable[[], None]]] = []
 
     def at(self, when: int, act: Callable[[], None]) -> None:
-        """Enter an event at ``when``."""
-        self.order += 1
-        heapq.heappush(self.events, (when, self.order, act))
+        """Schedule an event at ``when``."""
+        self.inserted += 1
+        heapq.heappush(self.events, (when, self.inserted, act))
 
     def run(self, until: int) -> None:
-        """Run all events up to ``until``, which is the time afterwards."""
+        """Run all events up to ``until``, to which the time then advances."""
         while self.events and self.events[0][0] <= until:
             self.now, _, act = heapq.heappop(self.events)
             act()
--- a/arrowseam/lab/gate_simulation.py
+++ b/arrowseam/lab/gate_simulation.py
@@ -1,6 +1,7 @@
-"""Made figures of a fleet in which some proxies change, to see when a gate alarms.
+"""Synthetic counters of a cluster in which some proxies change, to measure when a release gate alarms.
 
-It owns the model: proxies that differ from each other, weather that befalls all alike. It must never judge.
+Proxies differ from each other, and disturbances affect all alike. This module must never judge: that is the
+gate's part.
 """
 
 from __future__ import annotations
@@ -9,41 +10,48 @@
 
 from arrowseam.rollouts import gates
 
-BEFORE = 60  # seconds
+BASELINE_SECONDS = 60  # before the change
 
 
-def alarm(
+def seconds_to_alarm(
     seed: int,
-    fail: float = 1.0,
-    slow: float = 0.0,
+    failure_factor: float = 1.0,
+    log_slowdown: float = 0.0,
     changed: int = 3,
     proxies: int = 12,
     seconds: int = 60,
     alpha: float = 0.01,
 ) -> int | None:
-    """The second after the change at which there is an alarm. Of those changed failures are ``fail`` times as
-    many, and the logarithm of times to UP is ``slow`` more; each proxy has 15 to 25 set-ups a second."""
-    rnd, held, weather = random.Random(seed), gates.CounterHistory(), 1.0
+    """The second after the change at which the gate alarms; None if it does not.
+
+    At the ``changed`` proxies, failures are ``failure_factor`` times as frequent, and the logarithm of the
+    times to UP is greater by ``log_slowdown``. Each proxy has 15 to 25 set-ups a second.
+    """
+    rnd, history, shared_factor = random.Random(seed), gates.CounterHistory(), 1.0
     names = [f"p{n}" for n in range(proxies)]
-    own = [rnd.uniform(0.005, 0.02) for _ in names]
+    failure_rates = [rnd.uniform(0.005, 0.02) for _ in names]
     setups, failures, ups = ([0] * proxies for _ in range(3))
-    sums = [0.0] * proxies
+    log_time_sums = [0.0] * proxies
     gate = None
-    for second in range(BEFORE + seconds):
-        weather = max(0.3, min(3.0, weather * rnd.lognormvariate(0, 0.1)))
+    for second in range(BASELINE_SECONDS + seconds):
+        shared_factor = max(0.3, min(3.0, shared_factor * rnd.lognormvariate(0, 0.1)))
         for n, name in enumerate(names):
-            worse = n < changed and second >= BEFORE
+            is_changed = n < changed and second >= BASELINE_SECONDS
             count = rnd.randint(15, 25)
-            rate = min(1.0, own[n] * weather * (fail if worse else 1.0))
+            rate = min(1.0, failure_rates[n] * shared_factor * (failure_factor if is_changed else 1.0))
             failed = sum(rnd.random() < rate for _ in range(count))
             up = count - failed
             setups[n], failures[n], ups[n] = setups[n] + count, failures[n] + failed, ups[n] + up
-            sums[n] += rnd.gauss((3 + 0.1 * weather + (slow if worse else 0.0)) * up, 0.5 * up**0.5)
-            held.record(second, name, 1, gates.Counters(setups[n], failures[n], 0, 0, 50, ups[n], sums[n]))
-        if second == BEFORE:
-            gate = gates.Gate(held, names[:changed], names[changed:], BEFORE, BEFORE)
+            log_time_sums[n] += rnd.gauss(
+                (3 + 0.1 * shared_factor + (log_slowdown if is_changed else 0.0)) * up, 0.5 * up**0.5
+            )
+            history.record(
+                second, name, 1, gates.Counters(setups[n], failures[n], 0, 0, 50, ups[n], log_time_sums[n])
+            )
+        if second == BASELINE_SECONDS:
+            gate = gates.Gate(history, names[:changed], names[changed:], BASELINE_SECONDS, BASELINE_SECONDS)
         if gate is not None:
             gate.update(second + 1, rnd)
             if gate.wealth * alpha >= 1:
-                return second - BEFORE + 1
+                return second - BASELINE_SECONDS + 1
     return None
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -122,7 +122,7 @@
 
 def judged(job: tuple[int, float, float, int]) -> int | None:
     seed, fail, slow, changed = job
-    return gate_simulation.alarm(seed, fail, slow, changed, proxies=24)
+    return gate_simulation.seconds_to_alarm(seed, fail, slow, changed, proxies=24)
 
 
 def gate(count: int, jobs: int) -> None:
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -444,9 +444,9 @@
 
 
 def test_gates_alarm_on_worse_proxies_and_rarely_otherwise() -> None:
-    assert sum(gate_simulation.alarm(seed) is not None for seed in range(40)) <= 2
-    assert all((gate_simulation.alarm(seed, fail=30) or 99) <= 15 for seed in range(5))
-    assert all((gate_simulation.alarm(seed, slow=0.4) or 99) <= 15 for seed in range(5))
+    assert sum(gate_simulation.seconds_to_alarm(seed) is not None for seed in range(40)) <= 2
+    assert all((gate_simulation.seconds_to_alarm(seed, failure_factor=30) or 99) <= 15 for seed in range(5))
+    assert all((gate_simulation.seconds_to_alarm(seed, log_slowdown=0.4) or 99) <= 15 for seed in range(5))
 
 
 def test_a_gate_without_enough_baseline_data_never_alarms() -> None:
