--- a/arrowseam/lab/raft_exploration.py
+++ b/arrowseam/lab/raft_exploration.py
@@ -1,8 +1,8 @@
-"""Small configurations of the log explored exhaustively: every order of deliveries, timeouts, syncs, crashes
-and proposals there is, up to a depth.
+"""Explores small Raft configurations exhaustively: every order of deliveries, timeouts, syncs, crashes and
+proposals up to a depth.
 
-It owns the search and what must hold in every state. Losing a message is not delivering it, so all losses are
-in it; each message is delivered once at most. It must never ask a node why.
+It owns the search and the invariants of every state. A lost message is one that is never delivered, so all
+losses are covered; no message is delivered twice. It must never ask a node for its reasons.
 """
 
 from __future__ import annotations
@@ -31,7 +31,8 @@
 from arrowseam.consensus.storage import replay
 
 EPOCH = Epoch(1, 1)
-WEIGHTS = {"deliver": 6.0, "sync": 6.0, "elapsed": 1.0, "propose": 2.0, "crash": 0.4}  # of a walk
+# How likely a random walk takes each kind of step.
+STEP_WEIGHTS = {"deliver": 6.0, "sync": 6.0, "elapsed": 1.0, "propose": 2.0, "crash": 0.4}
 
 
 @dataclass
@@ -39,11 +40,11 @@
     nodes: dict[str, Node]
     disks: dict[str, list[StoredRecord]]
     pending: dict[str, list[tuple[int, tuple[StoredRecord, ...]]]]
-    flying: list[tuple[str, RaftMessage]] = field(default_factory=list)
+    in_transit: list[tuple[str, RaftMessage]] = field(default_factory=list)
     leaders: dict[int, str] = field(default_factory=dict)  # by term
     committed: dict[int, Entry] = field(default_factory=dict)
-    proposed: int = 0
-    crashed: int = 0
+    proposal_count: int = 0
+    crash_count: int = 0
     violations: list[str] = field(default_factory=list)
 
     def clone(self) -> State:
@@ -51,36 +52,37 @@
             {name: _clone(node) for name, node in self.nodes.items()},
             {name: list(disk) for name, disk in self.disks.items()},
             {name: list(rows) for name, rows in self.pending.items()},
-            list(self.flying), dict(self.leaders), dict(self.committed), self.proposed, self.crashed,
-            list(self.violations),
+            list(self.in_transit), dict(self.leaders), dict(self.committed), self.proposal_count,
+            self.crash_count, list(self.violations),
         )  # fmt: skip
 
     def key(self) -> int:
         nodes = tuple(_node_key(node) for node in self.nodes.values())
-        flying = tuple(sorted(map(repr, self.flying)))
+        in_transit = tuple(sorted(map(repr, self.in_transit)))
         disks = tuple((len(d), len(self.pending[name])) for name, d in self.disks.items())
-        return hash((nodes, flying, disks, self.proposed, self.crashed))
+        return hash((nodes, in_transit, disks, self.proposal_count, self.crash_count))
 
 
-def _node_key(n: Node) -> tuple[Any, ...]:
-    """All that a node's further behaviour depends on."""
-    progress = sorted((v, p.next_index, p.match_index, p.in_flight) for v, p in n.progress.items())
+def _node_key(node: Node) -> tuple[Any, ...]:
+    """Everything that the node's further behaviour depends on."""
+    progress = sorted((v, p.next_index, p.match_index, p.in_flight) for v, p in node.progress.items())
     return (
-        n.role.value, n.term, n.voted_for, n.log.snapshot.index, tuple(n.log.entries), n.commit_index,
-        n.durable_index, n.leader, n.leader_silent, n.pre_vote, frozenset(n.votes_received), tuple(progress),
-        frozenset(n.responsive), n.quorum_checks, len(n.outbox.pending_writes),
+        node.role.value, node.term, node.voted_for, node.log.snapshot.index, tuple(node.log.entries),
+        node.commit_index, node.durable_index, node.leader, node.leader_silent, node.pre_vote,
+        frozenset(node.votes_received), tuple(progress), frozenset(node.responsive), node.quorum_checks,
+        len(node.outbox.pending_writes),
     )  # fmt: skip
 
 
 def _clone(node: Node) -> Node:
-    fresh = object.__new__(type(node))
+    copied = object.__new__(type(node))
     for key, value in node.__dict__.items():
         if key == "progress":
             value = copy.deepcopy(value)
         elif isinstance(value, list | dict | set | ReplicatedLog | Outbox):
             value = value.copy()
-        fresh.__dict__[key] = value
-    return fresh
+        copied.__dict__[key] = value
+    return copied
 
 
 class Explorer:
@@ -92,29 +94,29 @@
         node_type: type[Node] = Node,
         loses_votes: bool = False,
     ) -> None:
-        """``loses_votes``, planted: terms and votes are not written to the disks."""
+        """``loses_votes`` plants a fault: terms and votes are not written to the disks."""
         self.loses_votes = loses_votes
         self.node_type, self.proposals, self.crashes = node_type, proposals, crashes
         self.names = tuple("abcde"[:voters])
         self.voters = tuple(Voter(name, 1) for name in self.names)
 
     def begin(self, term: int = 1, uneven: bool = False) -> State:
-        """A leader of a term, a, has just been elected; ``uneven``: c has an entry of an older term."""
+        """All nodes are followers in this term; ``uneven``: all but ``a`` have an entry of an older term."""
         state = State({}, {name: [] for name in self.names}, {name: [] for name in self.names})
         for voter in self.voters:
             base = Snapshot(1, 0, self.voters)
             entries = [Entry(1, EntryKind.COMMAND, b"old")] if uneven and voter.name != "a" else []
-            whole = Checkpoint(HardState(EPOCH, voter, term, None), base, entries)
-            state.disks[voter.name] = [whole]
-            state.nodes[voter.name] = self.node_type(voter, whole, self.names)
+            checkpoint = Checkpoint(HardState(EPOCH, voter, term, None), base, entries)
+            state.disks[voter.name] = [checkpoint]
+            state.nodes[voter.name] = self.node_type(voter, checkpoint, self.names)
         return state
 
-    def _do(self, state: State, name: str, asked: list[effects.Effect]) -> None:
-        for effect in asked:
+    def _carry_out(self, state: State, name: str, requested: list[effects.Effect]) -> None:
+        for effect in requested:
             match effect:
                 case effects.Send(to, message):
                     if to in state.nodes:
-                        state.flying.append((to, message))
+                        state.in_transit.append((to, message))
                 case effects.Persist(token, records):
                     state.pending[name].append((token, records))
                 case effects.Commit(index, entry):
@@ -122,12 +124,12 @@
                         state.violations.append(f"two entries committed at {index}")
         node = state.nodes[name]
         if node.role is Role.LEADER and state.leaders.setdefault(node.term, name) != name:
-            state.violations.append(f"two leaders of term {node.term}")
+            state.violations.append(f"two leaders in term {node.term}")
 
     def steps(self, state: State) -> Iterator[tuple[str, Any]]:
         seen = set()
-        for n, (to, what) in enumerate(state.flying):
-            text = repr((to, what))
+        for n, (to, message) in enumerate(state.in_transit):
+            text = repr((to, message))
             if text not in seen:
                 seen.add(text)
                 yield "deliver", n
@@ -136,36 +138,36 @@
                 yield "sync", name
             if node.role is not Role.LEADER:
                 yield "elapsed", name
-            elif state.proposed < self.proposals:
+            elif state.proposal_count < self.proposals:
                 yield "propose", name
-            if state.crashed < self.crashes:
+            if state.crash_count < self.crashes:
                 yield "crash", name
 
     def step(self, before: State, what: str, which: Any) -> State:
         state = before.clone()
         match what:
             case "deliver":
-                to, message = state.flying.pop(which)
-                self._do(state, to, state.nodes[to].on_message(message))
+                to, message = state.in_transit.pop(which)
+                self._carry_out(state, to, state.nodes[to].on_message(message))
             case "sync":
                 token, records = state.pending[which].pop(0)
                 state.disks[which] += [
                     k for k in records if not (self.loses_votes and isinstance(k, HardState))
                 ]
-                self._do(state, which, state.nodes[which].on_records_stored(token))
+                self._carry_out(state, which, state.nodes[which].on_records_stored(token))
             case "elapsed":
-                self._do(state, which, state.nodes[which].on_election_timeout())
+                self._carry_out(state, which, state.nodes[which].on_election_timeout())
             case "propose":
-                state.proposed += 1
-                _, effects = state.nodes[which].propose(b"%d" % state.proposed)
-                self._do(state, which, effects)
+                state.proposal_count += 1
+                _, effects = state.nodes[which].propose(b"%d" % state.proposal_count)
+                self._carry_out(state, which, effects)
             case "crash":
-                state.crashed += 1
+                state.crash_count += 1
                 state.pending[which].clear()
-                held = replay(state.disks[which])
-                state.disks[which] = [held] if held is not None else []
-                me = Voter(which, 1)
-                state.nodes[which] = self.node_type(me, held, self.names)
+                stored = replay(state.disks[which])
+                state.disks[which] = [stored] if stored is not None else []
+                voter = Voter(which, 1)
+                state.nodes[which] = self.node_type(voter, stored, self.names)
         return state
 
 
@@ -185,30 +187,30 @@
     max_states: int = 1_000_000,
     initial: str = "stands",
 ) -> ExplorationResult:
-    """Breadth first. ``initial``: ``stands`` (a has asked for votes and all have said yes), ``uneven`` (the
-    others have an entry of an older term beside)."""
+    """Explore breadth first. ``initial`` is ``stands`` (``a`` has stood for election and won) or ``uneven``
+    (there is no leader, and all but ``a`` have an entry of an older term)."""
     explorer = Explorer(voters, proposals, crashes, node_type)
     state = explorer.begin(uneven=initial == "uneven")
     if initial == "stands":
         state = explorer.step(state, "elapsed", "a")
         while any(n.role is not Role.LEADER for n in [state.nodes["a"]]):
-            found = [(w, x) for w, x in explorer.steps(state) if w in ("sync", "deliver")]
-            state = explorer.step(state, *found[0])
+            possible = [(w, x) for w, x in explorer.steps(state) if w in ("sync", "deliver")]
+            state = explorer.step(state, *possible[0])
     layer, seen = [state], {state.key()}
     for level in range(depth):
-        fresh = []
-        for one in layer:
-            for what, which in explorer.steps(one):
-                after = explorer.step(one, what, which)
+        next_layer = []
+        for before in layer:
+            for what, which in explorer.steps(before):
+                after = explorer.step(before, what, which)
                 if after.violations:
                     return ExplorationResult(len(seen), level + 1, after.violations)
                 key = after.key()
                 if key not in seen:
                     seen.add(key)
-                    fresh.append(after)
+                    next_layer.append(after)
             if len(seen) > max_states:
                 return ExplorationResult(len(seen), level, [])
-        layer = fresh
+        layer = next_layer
     return ExplorationResult(len(seen), depth, [])
 
 
@@ -220,19 +222,22 @@
     initial: str = "stands",
     loses_votes: bool = False,
 ) -> list[str]:
-    """One way through far more steps, drawn from a seed; what was broken on it."""
+    """Take one random walk of many more steps, drawn from a seed; returns the violations on it.
+
+    It begins before any election; ``uneven`` is the same as in ``explore``.
+    """
     rnd = random.Random(seed)
     explorer = Explorer(voters, proposals=6, crashes=6, node_type=node_type, loses_votes=loses_votes)
     state = explorer.begin(uneven=initial == "uneven")
     for _ in range(steps):
-        found = list(explorer.steps(state))
-        what, which = rnd.choices(found, [WEIGHTS[what] for what, _ in found])[0]
+        possible = list(explorer.steps(state))
+        what, which = rnd.choices(possible, [STEP_WEIGHTS[what] for what, _ in possible])[0]
         try:
             state = explorer.step(state, what, which)
         except AssertionError as error:
             return [str(error)]
-        if len(state.flying) > 12:  # lost
-            state.flying.pop(rnd.randrange(len(state.flying)))
+        if len(state.in_transit) > 12:  # a message is lost
+            state.in_transit.pop(rnd.randrange(len(state.in_transit)))
         if state.violations:
             return state.violations
     return []
--- a/arrowseam/lab/rollout_mutants.py
+++ b/arrowseam/lab/rollout_mutants.py
@@ -1,6 +1,6 @@
-"""Faults planted in the agreement's code one by one, to prove that its referee bites.
+"""Mutants of consensus and rollouts, each with one planted fault, to prove that the checks catch it.
 
-Each is the code with one thing left out or done wrong. It must never be imported by a proxy.
+Each is the code with one rule left out or done wrong. It must never be imported by a proxy.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from arrowseam.rollouts.replicated_state import ReplicatedState
 from arrowseam.rollouts.state import Permit, Release
 
-# --- the log ------------------------------------------------------------------------------------------------
+# --- consensus ----------------------------------------------------------------------------------------------
 
 
 class CommitsOldTermsByCount(Node):
-    """An entry of an older term is committed by counting who has it."""
+    """Commits entries of an older term by counting the voters that have them."""
 
     def _advance_commit_index(self) -> None:
         for index in range(self.log.last_index, self.commit_index, -1):
@@ -49,7 +49,7 @@
 
 
 class CountsUnstoredEntries(Node):
-    """A leader counts itself for entries that it has not stored."""
+    """A leader counts itself for entries that it has not stored yet."""
 
     def _advance_commit_index(self) -> None:
         self.durable_index = self.log.last_index
@@ -57,20 +57,20 @@
 
 
 class RepliesBeforeStoring(Node):
-    """Votes and acknowledgements go out before what they rest on is stored."""
+    """Sends votes and acknowledgements before the records that they depend on are stored."""
 
-    def _send_when_stored(self, to: str, what: RaftMessage) -> None:
-        self._send(to, what)
+    def _send_when_stored(self, to: str, message: RaftMessage) -> None:
+        self._send(to, message)
 
 
 class VotesAfterStateLoss(Node):
-    """Who has lost its state is taken for who it was."""
+    """A voter that has lost its state keeps its identity and goes on voting."""
 
-    def __init__(self, me: Voter, *rest: Any) -> None:
-        super().__init__(Voter(me.name, 1), *rest)
+    def __init__(self, identity: Voter, *rest: Any) -> None:
+        super().__init__(Voter(identity.name, 1), *rest)
 
     def _on_request_vote(self, message: RequestVote) -> None:
-        if self.role is Role.NON_VOTER:  # it believes to be a voter still
+        if self.role is Role.NON_VOTER:  # it still takes itself for a voter
             granted = not message.pre_vote and self.voted_for in (None, message.sender)
             granted = granted or message.pre_vote
             if granted and not message.pre_vote:
@@ -85,7 +85,7 @@
 
 
 class VotesTwice(Node):
-    """A vote given in a term does not keep from giving another."""
+    """Grants more than one vote in a term."""
 
     def _on_request_vote(self, message: RequestVote) -> None:
         if not message.pre_vote and message.term == self.term:
@@ -94,14 +94,14 @@
 
 
 class VotesForStaleLogs(Node):
-    """A vote is given to whoever asks, however little it has."""
+    """Grants its vote to candidates whose log is behind its own."""
 
     def _on_request_vote(self, message: RequestVote) -> None:
         super()._on_request_vote(msgspec.structs.replace(message, last_index=1 << 40, last_term=1 << 40))
 
 
 class OverlappingVoterChanges(Node):
-    """Voters are changed before the last change is committed."""
+    """Changes the voters again before the previous change is committed."""
 
     @property
     def is_configuration_committed(self) -> bool:
@@ -109,14 +109,14 @@
 
 
 class KeepsConflictingEntries(Node):
-    """A follower keeps its own entries where the leader's differ."""
+    """A follower keeps its own entries where they conflict with the leader's."""
 
     def _on_append_entries(self, message: AppendEntries) -> None:
         if message.epoch == self.epoch and message.prev_index < self.log.last_index:
-            fresh = message.entries[max(0, self.log.last_index - message.prev_index) :]
+            new_entries = message.entries[max(0, self.log.last_index - message.prev_index) :]
             if self._accept_leader(message):
-                if fresh:
-                    self._replace_entries(self.log.last_index + 1, fresh)
+                if new_entries:
+                    self._replace_entries(self.log.last_index + 1, new_entries)
                 match = message.prev_index + len(message.entries)
                 self._commit_up_to(min(message.commit_index, match, self.log.last_index))
                 self._send_when_stored(
@@ -127,14 +127,14 @@
 
 
 class HalfIsQuorum(Node):
-    """Half of the voters are enough."""
+    """Takes half of the voters for a quorum."""
 
-    def _is_quorum(self, who: set[Voter]) -> bool:
-        return 2 * len(who.intersection(self.voters)) >= len(self.voters)
+    def _is_quorum(self, voters: set[Voter]) -> bool:
+        return 2 * len(voters.intersection(self.voters)) >= len(self.voters)
 
 
 class IgnoresNewEpochs(Node):
-    """A history begun by hand is not preferred to the one before."""
+    """Does not prefer an epoch that an operator started to the previous one."""
 
     def on_message(self, message: RaftMessage) -> list[effects.Effect]:
         if message.epoch != self.epoch and self.epoch != Epoch():
@@ -147,56 +147,56 @@
 
 class SnapshotLosesPermits(ReplicatedState):
     def save(self) -> bytes:
-        held, self.state.permits = self.state.permits, {}
+        permits, self.state.permits = self.state.permits, {}
         try:
             return super().save()
         finally:
-            self.state.permits = held
+            self.state.permits = permits
 
 
 class NoBudgetCheckOnApply(ReplicatedState):
-    """What the leader proposed is taken as it is."""
+    """Applies a grant as the leader proposed it, without checking the budgets again."""
 
     def _grant_permit(self, index: int, command: GrantPermit) -> str:
         budgets, self.state.budgets = self.state.budgets, {}
         try:
-            boundless = DisruptionBudgets(proxies=1000, servers=1000, least_ready=0.0)
-            self.state.budgets = {"x": boundless}
+            unlimited = DisruptionBudgets(proxies=1000, servers=1000, least_ready=0.0)
+            self.state.budgets = {"x": unlimited}
             return super()._grant_permit(index, command)
         finally:
             self.state.budgets = budgets
 
 
 class NoMissingProxies(ClusterState):
-    """No proxy is seen to be missing."""
+    """Observes no missing proxy."""
 
     def missing_proxies(self) -> tuple[Resource, ...]:
         return ()
 
 
 class NoMissingEndpoints(ClusterState):
-    """No endpoint is seen to be missing."""
+    """Observes no missing endpoint."""
 
     def missing_endpoints(self) -> tuple[Resource, ...]:
         return ()
 
 
 class IgnoresMissingProxies(Controller):
-    """Goes by the wants alone; the replicated state is left to refuse."""
+    """Proposes grants without counting missing proxies; only the replicated state can reject them."""
 
     def decide(self, inputs: Inputs) -> Command | None:
         return super().decide(replace(inputs, cluster=NoMissingProxies(**vars(inputs.cluster))))
 
 
 class IgnoresMissingEndpoints(Controller):
-    """Servers that are down by themselves are not counted."""
+    """Does not count servers that are down because of a fault."""
 
     def decide(self, inputs: Inputs) -> Command | None:
         return super().decide(replace(inputs, cluster=NoMissingEndpoints(**vars(inputs.cluster))))
 
 
 class ReturnsPermitsByTime(Controller):
-    """Who has been out for three seconds is taken for back."""
+    """Takes a proxy that reports for back 0.2 s after its permit was first seen."""
 
     def _return_permit(self, permit: Permit, inputs: Inputs) -> Command | None:
         report = inputs.reports.get(permit.resource.name)
@@ -213,7 +213,7 @@
 
 
 class UnreportedIsDrained(Controller):
-    """Who says nothing of a server is taken to hold nothing there."""
+    """Takes a proxy that does not report its connections to a server to have none."""
 
     def _mark_drained(self, permit: Permit, inputs: Inputs) -> Command | None:
         endpoint, reports = permit.resource.name, {}
@@ -224,7 +224,7 @@
         return super()._mark_drained(permit, replace(inputs, reports=reports))
 
 
-# --- the holder ---------------------------------------------------------------------------------------------
+# --- the permit holder and the agent ------------------------------------------------------------------------
 
 
 class HolderIgnoresHalts(PermitHolder):
@@ -239,7 +239,7 @@
 
 
 class LaterProcessUsesPermit(PermitHolder):
-    """A life that has started since goes out once more."""
+    """A process that started after the grant uses the permit as well."""
 
     def _handle_permit(self, permit_id: int) -> None:
         permit = self.replicated.state.permits[permit_id]
@@ -251,15 +251,15 @@
 
 
 class HaltWaitsForQuorum(Agent):
-    """A halt is put in the log, and nowhere else."""
+    """Proposes a halt to the log only, instead of gossiping it."""
 
     def announce_halt(self, now: int, wall_ms: int, release_id: int) -> list[Effect]:
-        halt = HaltRelease(release_id=release_id, reason=f"said at {self.name}")
+        halt = HaltRelease(release_id=release_id, reason=f"halted at {self.name}")
         return self.submit(now, wall_ms, halt)[1]
 
 
 class ReportsDoneAtStart(PermitHolder):
-    """Says that it is back as soon as it goes."""
+    """Reports a permit as completed as soon as it begins to execute it."""
 
     def _execute(self, effect: ExecutePermit) -> None:
         super()._execute(effect)
@@ -274,16 +274,18 @@
     controller: type[Controller] | None = None,
     holder: type[PermitHolder] | None = None,
 ) -> type[Agent]:
-    """An agent with one of its parts replaced."""
-    parts: dict[str, Any] = {
+    """An agent type with one component replaced by a mutant."""
+    components: dict[str, Any] = {
         "node_type": node,
         "state_type": state,
         "controller_type": controller,
         "holder_type": holder,
     }
-    kind = node or state or controller or holder
-    assert kind is not None
-    return type(kind.__name__, (Agent,), {key: value for key, value in parts.items() if value is not None})
+    mutant = node or state or controller or holder
+    assert mutant is not None
+    return type(
+        mutant.__name__, (Agent,), {key: value for key, value in components.items() if value is not None}
+    )
 
 
 NODE_MUTANTS: tuple[type[Node], ...] = (
@@ -299,13 +301,13 @@
     agent_with(holder=HolderIgnoresHalts), agent_with(holder=UsesPermitsTwice),
     agent_with(holder=LaterProcessUsesPermit), HaltWaitsForQuorum, agent_with(holder=ReportsDoneAtStart),
 )  # fmt: skip
-STORAGE_FAULTS = ("unsynced", "forgets votes")  # of the laboratory's disks
+STORAGE_FAULTS = ("unsynced", "forgets votes")  # of simulated disks
 
 
 def all_mutants() -> list[tuple[str, type[Agent], str]]:
-    """All of them: name, agent, and how its disk fails it."""
-    found = [(kind.__name__, agent_with(node=kind), "") for kind in NODE_MUTANTS]
-    found += [(kind.__name__, agent_with(state=kind), "") for kind in STATE_MUTANTS]
-    found += [(kind.__name__, agent_with(controller=kind), "") for kind in CONTROLLER_MUTANTS]
-    found += [(kind.__name__, kind, "") for kind in AGENT_MUTANTS]
-    return found + [(f"disk {how}", Agent, how) for how in STORAGE_FAULTS]
+    """Name, agent type and storage fault of each."""
+    mutants = [(mutant.__name__, agent_with(node=mutant), "") for mutant in NODE_MUTANTS]
+    mutants += [(mutant.__name__, agent_with(state=mutant), "") for mutant in STATE_MUTANTS]
+    mutants += [(mutant.__name__, agent_with(controller=mutant), "") for mutant in CONTROLLER_MUTANTS]
+    mutants += [(mutant.__name__, mutant, "") for mutant in AGENT_MUTANTS]
+    return mutants + [(f"disk {storage_fault}", Agent, storage_fault) for storage_fault in STORAGE_FAULTS]
