--- a/arrowseam/lab/rollout_simulation.py
+++ b/arrowseam/lab/rollout_simulation.py
@@ -57,7 +57,7 @@
 MS, SECOND = 1_000, 1_000_000
 WALL_CLOCK_START_MS = 1_700_000_000_000
 OBSERVATION_INTERVAL = 300 * MS  # of the membership view's stand-in
-ABSENCE_DETECTION = 1200 * MS  # after which a process that does not run is seen as missing
+ABSENCE_DETECTION = 1200 * MS  # after which a process that has ended or is stalled is seen as missing
 HALT_SPREAD = 2 * SECOND  # within which a halt reaches all processes that can be reached
 MISSING_DETECTION = 3 * SECOND  # after which a leader must count what its own view shows as missing
 
