--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -29,15 +29,21 @@
 from typing import Any
 
 from arrowseam.consensus.node import Node
-from arrowseam.lab import agreed, agreed_stage, explored, gated, planted_agree
+from arrowseam.lab import (
+    gate_simulation,
+    raft_exploration,
+    rollout_fault_runner,
+    rollout_mutants,
+    rollout_simulation,
+)
 from arrowseam.lab.local_cluster import LocalCluster
 
 SECOND = 1_000_000
 
 
 def play_schedule(seed: int) -> tuple[int, list[str], Counter[str], int | None, bool]:
-    verdict = agreed.play(agreed.draw(seed))
-    return seed, verdict.broken, verdict.counts, verdict.settled, verdict.lost
+    verdict = rollout_simulation.play(rollout_simulation.draw(seed))
+    return seed, verdict.violations, verdict.counts, verdict.settled, verdict.lost
 
 
 def schedules(count: int, first: int, jobs: int) -> int:
@@ -71,13 +77,13 @@
     raise PlayTimeoutError
 
 
-def caught(job: tuple[int, int]) -> tuple[int, str]:
+def play_mutant(job: tuple[int, int]) -> tuple[int, str]:
     index, seed = job
-    _, kind, storing = planted_agree.agents()[index]
+    _, agent_type, storage_fault = rollout_mutants.all_mutants()[index]
     signal.signal(signal.SIGALRM, _on_alarm)
     signal.alarm(8)  # so that a fault that causes an endless loop is found too
     try:
-        broken = agreed.play(agreed.draw(seed), kind, storing).broken
+        broken = rollout_simulation.play(rollout_simulation.draw(seed), agent_type, storage_fault).violations
     except (AssertionError, PlayTimeoutError) as error:
         broken = [type(error).__name__]
     finally:
@@ -86,35 +92,39 @@
 
 
 def planted(count: int, jobs: int) -> None:
-    kinds = planted_agree.agents()
+    mutants = rollout_mutants.all_mutants()
     with Pool(jobs) as pool:
-        rows = pool.map(caught, [(n, s) for n in range(len(kinds)) for s in range(count)], chunksize=5)
-        ways = pool.map(walked, [(n, s) for n in range(len(planted_agree.NODES)) for s in range(5 * count)])
-    for index, (name, _, _) in enumerate(kinds):
+        rows = pool.map(play_mutant, [(n, s) for n in range(len(mutants)) for s in range(count)], chunksize=5)
+        walk_results = pool.map(
+            walk_seed, [(n, s) for n in range(len(rollout_mutants.NODE_MUTANTS)) for s in range(5 * count)]
+        )
+    for index, (name, _, _) in enumerate(mutants):
         violations = [text for n, text in rows if n == index and text]
-        walks = sum(hit for n, hit in ways if n == index)
+        walks = sum(hit for n, hit in walk_results if n == index)
         most_common = Counter(re.sub(r"\d+", "#", text) for text in violations).most_common(1)
         print(f"{name:24} {len(violations):>4} of {count} schedules, {walks:>4} of {5 * count} walks  "
               f"{most_common[0][0] if most_common else ''}")  # fmt: skip
 
 
-def walked(job: tuple[int, int]) -> tuple[int, bool]:
+def walk_seed(job: tuple[int, int]) -> tuple[int, bool]:
     index, seed = job
-    kind = planted_agree.NODES[index] if index >= 0 else Node
-    begin = "uneven" if seed % 3 == 0 else "stands"
-    return index, bool(explored.walk(seed, kind=kind, begin=begin, voters=5 if seed % 4 == 3 else 3))
+    node_type = rollout_mutants.NODE_MUTANTS[index] if index >= 0 else Node
+    initial = "uneven" if seed % 3 == 0 else "stands"
+    return index, bool(
+        raft_exploration.walk(seed, node_type=node_type, initial=initial, voters=5 if seed % 4 == 3 else 3)
+    )
 
 
 def walks(count: int, jobs: int) -> int:
     with Pool(jobs) as pool:
-        rows = pool.map(walked, [(-1, seed) for seed in range(count)], chunksize=50)
+        rows = pool.map(walk_seed, [(-1, seed) for seed in range(count)], chunksize=50)
     print(f"{count} walks of 120 steps, {sum(hit for _, hit in rows)} broken")
     return sum(hit for _, hit in rows)
 
 
 def simulate_gate(job: tuple[int, float, float, int]) -> int | None:
-    seed, fail, slow, changed = job
-    return gated.alarm(seed, fail, slow, changed, proxies=24)
+    seed, failure_factor, slowdown, changed_proxies = job
+    return gate_simulation.seconds_to_alarm(seed, failure_factor, slowdown, changed_proxies, proxies=24)
 
 
 def gates(count: int, jobs: int) -> None:
@@ -256,7 +266,7 @@
     seed, jobs, members = job
     slot = 10_000 + (os.getpid() % (3 * jobs)) * (22_000 // (3 * jobs))
     with tempfile.TemporaryDirectory() as folder:
-        record = agreed_stage.play(agreed_stage.draw(seed, members), Path(folder), slot)
+        record = rollout_fault_runner.play(rollout_fault_runner.draw(seed, members), Path(folder), slot)
     return seed, record.broken, record.settled, record.clients.get("came", 0)
 
 
@@ -293,8 +303,11 @@
         case "planted":
             planted(args.count or 60, args.jobs)
         case "explore":
-            found = explored.explore(depth=args.depth, most=10_000_000)
-            print(f"{found.states} states to depth {found.depth}; broken: {found.broken or 'none'}")
+            exploration = raft_exploration.explore(depth=args.depth, max_states=10_000_000)
+            print(
+                f"{exploration.states} states to depth {exploration.depth}; "
+                f"violations: {exploration.violations or 'none'}"
+            )
         case "walks":
             raise SystemExit(bool(walks(args.count or 2000, args.jobs)))
         case "gates":
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -406,14 +406,14 @@
 
 
 def measure_agreement(proxies: int, seed: int) -> Results:
-    from arrowseam.lab.agreed import Schedule, World
+    from arrowseam.lab.rollout_simulation import RolloutSimulation, Schedule
     from arrowseam.rollouts.budgets import Resource
     from arrowseam.rollouts.commands import Drain, PlanRelease, encoder
     from arrowseam.rollouts.messages import encode_message
     from arrowseam.rollouts.observed import ClusterState, ObservedEndpoint, ObservedProxy
     from arrowseam.rollouts.release_plan import plan_waves
 
-    class CountingWorld(World):
+    class CountingSimulation(RolloutSimulation):
         def __init__(self, *args: Any, **kwargs: Any) -> None:
             self.bytes_sent: Counter[str] = Counter()
             self.bytes_received: Counter[str] = Counter()
@@ -425,7 +425,7 @@
             """The same state for all: every proxy is present. Built once, as there is no view here."""
             if self.cached_state is None or len(self.cached_state.proxies) != len(self.running):
                 proxies = {
-                    n: ObservedProxy(Resource(n, self.zones[n]), p.life, True, False)
+                    n: ObservedProxy(Resource(n, self.zones[n]), p.start_number, True, False)
                     for n, p in self.running.items()
                 }
                 servers = {name: ObservedEndpoint(status, True) for name, status in self.servers.items()}
@@ -456,48 +456,52 @@
             for counter in (self.bytes_sent, self.bytes_received, self.cpu_ns):
                 counter.clear()
 
-    world = CountingWorld(Schedule(seed, proxies, VOTERS, True))
-    for name in world.names:
-        world.start(name)
-    world.run(SECOND)
-    world.reset(world.voters[0])
-    if world.until(lambda: world.leader() != "", 30 * SECOND) is None:
+    simulation = CountingSimulation(Schedule(seed, proxies, VOTERS, True))
+    for name in simulation.names:
+        simulation.start(name)
+    simulation.run(SECOND)
+    simulation.reset(simulation.voters[0])
+    if simulation.until(lambda: simulation.leader() != "", 30 * SECOND) is None:
         raise SystemExit(f"{proxies} proxies, seed {seed}: no leader")
-    world.run(world.now + 4 * SECOND)
-    leader, span = world.leader(), 5
-    world.clear()
-    world.run(world.now + span * SECOND)
-    outside = [n for n in world.names if n not in world.voters]
-    bytes_at_rest = world.bytes_sent[leader]
+    simulation.run(simulation.now + 4 * SECOND)
+    leader, span = simulation.leader(), 5
+    simulation.clear()
+    simulation.run(simulation.now + span * SECOND)
+    outside = [n for n in simulation.names if n not in simulation.voters]
+    bytes_at_rest = simulation.bytes_sent[leader]
     results = {
-        "agree.leader.bytes": max(world.bytes_received[leader], world.bytes_sent[leader]) / span,
+        "agree.leader.bytes": max(simulation.bytes_received[leader], simulation.bytes_sent[leader]) / span,
         "agree.voter.bytes": statistics.median(
-            max(world.bytes_received[v], world.bytes_sent[v]) for v in world.voters if v != leader
+            max(simulation.bytes_received[v], simulation.bytes_sent[v])
+            for v in simulation.voters
+            if v != leader
         )
         / span,
-        "agree.leader.cpu": world.cpu_ns[leader] / 1e7 / span,
+        "agree.leader.cpu": simulation.cpu_ns[leader] / 1e7 / span,
         "agree.proxy.bytes": statistics.median(
-            max(world.bytes_sent[n], world.bytes_received[n]) for n in outside
+            max(simulation.bytes_sent[n], simulation.bytes_received[n]) for n in outside
         )
         / span,
-        "agree.proxy.cpu": statistics.median(world.cpu_ns[n] for n in outside) / 1e7 / span,
+        "agree.proxy.cpu": statistics.median(simulation.cpu_ns[n] for n in outside) / 1e7 / span,
     }
-    world.clear()
-    before = world.running[leader].agent.replicated.index
-    world.say(leader, Drain(endpoint=world.servers["s0"], by=leader))
-    took = world.until(
-        lambda: all(p.agent.replicated.index > before for p in world.running.values()), 10 * SECOND, 20 * MS
+    simulation.clear()
+    before = simulation.running[leader].agent.replicated.index
+    simulation.submit(leader, Drain(endpoint=simulation.servers["s0"], by=leader))
+    took = simulation.until(
+        lambda: all(p.agent.replicated.index > before for p in simulation.running.values()),
+        10 * SECOND,
+        20 * MS,
     )
-    world.run(world.now + span * SECOND - (took or 0))
+    simulation.run(simulation.now + span * SECOND - (took or 0))
     results["agree.told.known"] = 10.0 if took is None else took / SECOND
-    results["agree.told.bytes"] = float(max(0, world.bytes_sent[leader] - bytes_at_rest))
-    results["agree.told.cpu"] = world.cpu_ns[leader] / 1e6
+    results["agree.told.bytes"] = float(max(0, simulation.bytes_sent[leader] - bytes_at_rest))
+    results["agree.told.cpu"] = simulation.cpu_ns[leader] / 1e6
     names = [f"eu-1-proxy-{n:05d}" for n in range(proxies)]
     plan = PlanRelease(kind="settings", bundle=bytes(2048), waves=plan_waves(names), by=leader)
     results["agree.plan.bytes"] = float(len(encoder.encode(plan)))
-    world.say(leader, plan)
-    world.run(world.now + 2 * SECOND)
-    results["agree.state.bytes"] = float(len(world.running[leader].agent.replicated.save()))
+    simulation.submit(leader, plan)
+    simulation.run(simulation.now + 2 * SECOND)
+    results["agree.state.bytes"] = float(len(simulation.running[leader].agent.replicated.save()))
     return results
 
 
