--- a/arrowseam/cli/capacity.py
+++ b/arrowseam/cli/capacity.py
@@ -22,12 +22,12 @@
     try:
         from arrowseam.capacity import table
 
-        size = runs.target(target)
-        costs = table.Costs(runs.folder(folder or RECORDED_RUNS), size)
+        size = runs.read_target(target)
+        costs = table.Costs(runs.read_folder(folder or RECORDED_RUNS), size)
         if page is not None:
-            return _write_page(Path(page), table.page(costs), table.written)
-        click.echo(json.dumps(table.doc(costs)) if as_json else table.text(costs))
-    except runs.Bad as error:
+            return _write_page(Path(page), table.render_page(costs), table.replace_table)
+        click.echo(json.dumps(table.to_document(costs)) if as_json else table.render_text(costs))
+    except runs.InvalidFileError as error:
         click.echo(f"arrowseam: {error}", err=True)
         return EXIT_INVALID_FILE
     except ImportError as error:
