--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -148,7 +148,7 @@
         self._do(process, process.view.start(self.now))
         return process
 
-    def stand(self, names: list[str] | None = None) -> None:
+    def start_established(self, names: list[str] | None = None) -> None:
         """Start members that know each other, their zone's, as a fleet that has stood for long."""
         records = {name: self.record(name) for name in (names if names is not None else self.names)}
         by_zone: dict[str, list[MemberRecord]] = {}
--- a/arrowseam/lab/zone_schedule_player.py
+++ b/arrowseam/lab/zone_schedule_player.py
@@ -219,7 +219,7 @@
         """Play the whole schedule and judge it."""
         net = self.net
         if self.stood:
-            net.stand()
+            net.start_established()
         else:
             for name in net.names:
                 net.start(name)
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -261,7 +261,7 @@
             self.zones.setdefault(net.zone_of[member], []).append(member)
 
     def stand(self) -> None:
-        self.net.stand()
+        self.net.start_established()
         self.net.run(self.net.now + 3 * SECOND)
 
     # --- looking ---
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -155,7 +155,7 @@
 def standing(table: tuple[int, ...], seed: int) -> Fleet:
     """A fleet that knows itself to begin with, two seconds on."""
     net = Fleet(table, seed)
-    net.stand()
+    net.start_established()
     net.run(2 * SECOND)
     return net
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -38,7 +38,7 @@
 ) -> SimulatedCluster:
     """Return a cluster that has been running for a while."""
     net = SimulatedCluster(sum(zones.values()), seed, zones=zones, **fields)
-    net.stand()
+    net.start_established()
     net.run(net.now + span)
     return net
 
@@ -223,7 +223,7 @@
 @pytest.mark.parametrize("sizes", [(6, 6)])
 def test_a_name_used_in_two_zones_is_reported_and_harmless(sizes: tuple[int, int]) -> None:
     net = SimulatedCluster(sum(sizes), 1, zones={"a": sizes[0], "b": sizes[1]})
-    net.stand([name for name in net.names if name != "m11"])
+    net.start_established([name for name in net.names if name != "m11"])
     duplicate = net._begin("m11", msgspec.structs.replace(net.record("m11"), name="m0"))
     net._do(duplicate, duplicate.view.start(net.now))
     net.run(net.now + 20 * SECOND)
@@ -295,7 +295,7 @@
 def test_a_zone_drops_tombstones_beyond_its_size() -> None:
     """A member moved to another zone and ended there, so one name more than configured is known."""
     net = SimulatedCluster(12, 1, MembershipSettings(tombstone_ttl=5 * SECOND), zones={"a": 6, "b": 6})
-    net.stand()
+    net.start_established()
     net.zone_of["m0"] = "b"
     net.start("m0")
     net.run(net.now + 10 * SECOND)
@@ -528,7 +528,7 @@
     zones: dict[str, int], unreachable: int
 ) -> None:
     net = SimulatedCluster(sum(zones.values()), 1, zones=None if "" in zones else zones)
-    net.stand()
+    net.start_established()
     net.run(net.now + SECOND)
     for name in net.names[10 : 10 + unreachable]:
         net.off.add(name)
@@ -872,7 +872,7 @@
 
 def _never_counting_out_is_safe_with_previous_version(view: type[ClusterView]) -> bool:
     net = SimulatedCluster(20, 1, MembershipSettings(never_count_out=True), view=PreviousVersion)
-    net.stand()
+    net.start_established()
     net.run(net.now + 2 * SECOND)
     for name in net.names[1:]:
         net.kill(name)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -195,7 +195,7 @@
     """The period is stretched to 3 s and the zones have 250: what is tried here is the number."""
     settings = MembershipSettings(probe_interval=3 * SECOND, probe_timeout=SECOND)
     net = SimulatedCluster(6_500, 1, settings, zones={f"z{z}": 250 for z in range(26)}, abroad=0)
-    net.stand()
+    net.start_established()
     ended = [f"m{n}" for n in range(7, 250, 19)]
     for name in ended:
         net.kill(name)
--- a/tests/test_zone_silence.py
+++ b/tests/test_zone_silence.py
@@ -23,7 +23,7 @@
 
 def running_cluster(zones: dict[str, int]) -> SimulatedCluster:
     net = SimulatedCluster(sum(zones.values()), 1, zones=zones)
-    net.stand()
+    net.start_established()
     net.run(net.now + 5 * SECOND)
     return net
 
@@ -203,7 +203,7 @@
 def test_a_member_that_cannot_send_still_receives_cordons(zones: dict[str, int] | None, seed: int) -> None:
     """Its cluster declared it dead and sent it nothing: it kept placing clients on a cordoned endpoint."""
     net = SimulatedCluster(sum(zones.values()) if zones else 12, seed, zones=zones)
-    net.stand()
+    net.start_established()
     net.run(net.now + 5 * SECOND)
     net.partition(["m0"], net.names[1:], one_way=True)
     net.run(net.now + 15 * SECOND)
