--- a/arrowseam/lab/schedule_player.py
+++ b/arrowseam/lab/schedule_player.py
@@ -223,7 +223,7 @@
         if (settled or 3 * SETTLE) > HELD_DEAD:
             running = set(net.running)
             for process in net.running.values():
-                if held := running - net.here(process):
+                if held := running - net.active_names(process):
                     self._fault(f"{process.name} holds {sorted(held)} for dead")
         net.run(max(net.now, end + SETTLE))
         net.until(self._counted, COUNTED_OUT)
--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -375,7 +375,7 @@
 
     # --- what a referee sees ---
 
-    def here(self, process: Process) -> set[str]:
+    def active_names(self, process: Process) -> set[str]:
         """Who takes part, as this process says."""
         return {r.name for r in process.view.records.values() if r.is_active} | {process.view.me.name}
 
@@ -394,7 +394,7 @@
             return False
         for name, process in self.running.items():
             records, ours = process.view.records, running[self.zone_of[name]]
-            if self.here(process) != ours:
+            if self.active_names(process) != ours:
                 return False
             if any(records[other].state is not State.ALIVE for other in ours - {name}):
                 return False
--- a/arrowseam/lab/zone_schedule_player.py
+++ b/arrowseam/lab/zone_schedule_player.py
@@ -193,7 +193,7 @@
         net = self.net
         for name, process in net.running.items():
             zone = {n for n in net.running if net.zone_of[n] == net.zone_of[name]}
-            if held := zone - net.here(process):
+            if held := zone - net.active_names(process):
                 self._fault(f"{name} holds {sorted(held)} for dead")
 
     def _alike(self) -> bool:
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -63,7 +63,7 @@
     began = net.now
 
     def holding() -> int:
-        return sum(name in net.here(p) for p in net.running.values())
+        return sum(name in net.active_names(p) for p in net.running.values())
 
     first = net.until(lambda: holding() < len(net.running), 30 * SECOND)
     net.until(lambda: holding() == 0, 30 * SECOND)
@@ -313,7 +313,7 @@
         row.events, row.share = len(took), net.share
         for members in self.zones.values():
             here = {n for n in members if n in net.running}
-            row.false += sum(len(here - net.here(net.running[n])) for n in here)
+            row.false += sum(len(here - net.active_names(net.running[n])) for n in here)
         return row
 
     # --- what happens ---
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -289,7 +289,7 @@
     net = running_cluster(6)
     net.cut = {("m0", name) for name in net.names[1:3]}  # m0 reaches only some of the others
     net.run(net.now + 15 * SECOND)
-    assert all(net.here(p) == set(net.names) for p in net.running.values())
+    assert all(net.active_names(p) == set(net.names) for p in net.running.values())
 
 
 def test_a_stalled_process_declares_no_member_dead_and_recovers_at_once() -> None:
@@ -300,7 +300,7 @@
     net = running_cluster(8)
     net.stall("m3", 10 * SECOND)
     net.run(net.now + 9 * SECOND)
-    assert "m3" not in net.here(net.running["m0"])
+    assert "m3" not in net.active_names(net.running["m0"])
     before = len(net.notes)
     net.run(net.now + 1 * SECOND)
     assert_converges(net, 3 * SECOND)
@@ -418,7 +418,7 @@
     names = [p.view.me.name for p in net.running.values()]
     assert len(set(names)) == 5
     assert len(events(net, "member.name_conflict")) == 1
-    assert {len(net.here(p)) for p in net.running.values()} == {5}
+    assert {len(net.active_names(p)) for p in net.running.values()} == {5}
 
 
 def replace_record(r: MemberRecord, **fields) -> MemberRecord:
@@ -443,7 +443,7 @@
     for name in net.names[10:]:
         net.leave(name)
     net.run(net.now + 5 * SECOND)
-    assert all(net.here(p) == set(net.names[:10]) for p in net.running.values())
+    assert all(net.active_names(p) == set(net.names[:10]) for p in net.running.values())
 
 
 def test_an_operator_declares_a_silent_member_left() -> None:
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -230,8 +230,8 @@
     assert any("also uses the name m0" in text for _, text in logged(net, "member.name_conflict"))
     ours, theirs = net.running["m0"].view, net.running["m11"].view
     assert ours.me.name == theirs.me.name == "m0"
-    assert set(net.here(net.running["m0"])) == set(members_of(net, "a"))
-    assert set(net.here(net.running["m11"])) == {*members_of(net, "b"), "m0"} - {"m11"}
+    assert set(net.active_names(net.running["m0"])) == set(members_of(net, "a"))
+    assert set(net.active_names(net.running["m11"])) == {*members_of(net, "b"), "m0"} - {"m11"}
     assert net.share <= SHARE_MAX
     assert not logged(net, "member.dead")
     assert not logged(net, "member.gone")
@@ -282,14 +282,14 @@
     net.run(net.now + 15 * SECOND)
     assert net.agreed()
     assert net.share <= SHARE_MAX
-    assert all("m0" not in net.here(net.running[name]) for name in members_of(net, "a"))
+    assert all("m0" not in net.active_names(net.running[name]) for name in members_of(net, "a"))
     assert net.running["m7"].proxy_count.value == proxy_count(6, 7, 0, 0, Fraction(1, 2))
     net.zone_of["m0"] = "a"
     net.start("m0")
     net.run(net.now + 15 * SECOND)
     assert net.agreed()
     assert net.share <= SHARE_MAX
-    assert "m0" in net.here(net.running["m1"])
+    assert "m0" in net.active_names(net.running["m1"])
 
 
 def test_a_zone_drops_tombstones_beyond_its_size() -> None:
