--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -101,7 +101,7 @@
         self.off: set[str] = set()  # hosts without power: they refuse nothing
         self.skew: dict[str, int] = {}  # of a machine's wall clock, microseconds
         self.running: dict[str, Process] = {}
-        self.notes: list[tuple[int, str, LogEvent]] = []
+        self.log_events: list[tuple[int, str, LogEvent]] = []
         self.sent = self.bytes = 0
         self.tally: dict[str, int] | None = None  # bytes out and in, by member, where somebody wants them
         self.watch: Callable[[], None] = lambda: None  # called after every event
@@ -261,7 +261,7 @@
                 case CordonChanged(server, out):
                     (process.cordoned.add if out else process.cordoned.discard)(server)
                 case LogEvent():
-                    self.notes.append((self.now, process.name, effect))
+                    self.log_events.append((self.now, process.name, effect))
         view = process.view
         # To compute the count at each event takes a third of a long run. In small runs it is computed each
         # time, as a proxy does, so that an input missing here can't hide a fault.
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -90,12 +90,12 @@
     net.loss, rnd, buried = loss, random.Random(seed), 0
     running = sorted(net.running)
     stalled = running[: max(1, members // 20)]
-    before, end = len(net.notes), net.now + seconds * SECOND
+    before, end = len(net.log_events), net.now + seconds * SECOND
     while net.now < end:
         for name in stalled:
             net.stall(name, int(rnd.uniform(0.2, 3.0) * SECOND))
         net.run(net.now + 6 * SECOND)
-    for _, _, note in net.notes[before:]:
+    for _, _, note in net.log_events[before:]:
         buried += note.event == "member.dead" and note.member not in stalled and note.member in net.running
     known = f"{refused[0]:>7.2f} {refused[1]:>6.2f} {dark[0]:>7.2f} {dark[1]:>6.2f}"
     false = buried * 3600 / seconds
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -278,7 +278,7 @@
 
 
 def events(net: SimulatedCluster, event: str) -> list[tuple[int, str, str]]:
-    return [(at, who, entry.member) for at, who, entry in net.notes if entry.event == event]
+    return [(at, who, entry.member) for at, who, entry in net.log_events if entry.event == event]
 
 
 def test_a_member_that_some_members_cannot_hear_is_not_declared_dead() -> None:
@@ -301,12 +301,12 @@
     net.stall("m3", 10 * SECOND)
     net.run(net.now + 9 * SECOND)
     assert "m3" not in net.active_names(net.running["m0"])
-    before = len(net.notes)
+    before = len(net.log_events)
     net.run(net.now + 1 * SECOND)
     assert_converges(net, 3 * SECOND)
     assert not [
         entry
-        for _, who, entry in net.notes[before:]
+        for _, who, entry in net.log_events[before:]
         if who == "m3" and entry.event in ("member.dead", "member.gone")
     ]
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -53,7 +53,7 @@
 
 def logged(net: SimulatedCluster, event: str) -> list[tuple[str, str]]:
     """Return the members that logged an event, with its texts."""
-    return [(who, entry.text) for _, who, entry in net.notes if entry.event == event]
+    return [(who, entry.text) for _, who, entry in net.log_events if entry.event == event]
 
 
 def silence_by_member(net: SimulatedCluster, zone: str) -> dict[str, bool]:
--- a/tests/test_zone_silence.py
+++ b/tests/test_zone_silence.py
@@ -40,7 +40,7 @@
     """Return the times at which a member logged this event about a zone."""
     return [
         at
-        for at, who, entry in net.notes
+        for at, who, entry in net.log_events
         if who == name and entry.event == event and f" {zone} " in entry.text
     ]
 
