--- a/arrowseam/lab/schedule_player.py
+++ b/arrowseam/lab/schedule_player.py
@@ -126,13 +126,13 @@
     def _power_off(self, step: Step, name: str) -> None:
         """Switch a machine off: nothing there refuses anything."""
         net = self.net
-        net.off.add(name)
+        net.powered_off.add(name)
         if step.what == SimulatedFault.POWER_OFF_FOR_GOOD:
             self.dark.add(name)
             self._kill(name)
             return
         self._kill(name)
-        net.at(net.now + step.span, lambda: net.off.discard(name) if name not in self.dark else None)
+        net.at(net.now + step.span, lambda: net.powered_off.discard(name) if name not in self.dark else None)
 
     def _network_step(self, step: Step) -> None:
         net, ends = self.net, self.net.now + step.span
@@ -195,7 +195,7 @@
         return list(self.net.running.values())
 
     def _start(self, name: str) -> None:
-        if name not in self.net.off:
+        if name not in self.net.powered_off:
             self.net.start(name)
 
     def _kill(self, name: str) -> None:
@@ -242,7 +242,7 @@
         net.run(net.now + max((s.at + DURATIONS.get(s.what, s.span) for s in steps), default=0) + 1)
         net.heal()
         net.loss = net.doubled = 0.0
-        net.off &= self.dark
+        net.powered_off &= self.dark
 
     def _judge_cordons(self) -> None:
         for server, state in self.cordons.items():
--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -98,7 +98,7 @@
         self.settings_of = {zone: self._settings_for(zone, seeds, abroad) for zone in self.zones or [""]}
         self.cut: set[tuple[str, str]] = set()  # (sender, receiver) between which nothing arrives
         self.reachability_version = 0  # rises whenever who can reach whom may have changed
-        self.off: set[str] = set()  # hosts without power: they refuse nothing
+        self.powered_off: set[str] = set()  # hosts without power: they refuse nothing
         self.skew: dict[str, int] = {}  # of a machine's wall clock, microseconds
         self.running: dict[str, Process] = {}
         self.log_events: list[tuple[int, str, LogEvent]] = []
@@ -290,7 +290,7 @@
         return self.rnd.randint(*self.delay)
 
     def _open(self, one: str, other: str) -> bool:
-        return (one, other) not in self.cut and one not in self.off and other not in self.off
+        return (one, other) not in self.cut and one not in self.powered_off and other not in self.powered_off
 
     def _charge(self, name: str, size: int) -> None:
         if self.tally is not None:
--- a/arrowseam/lab/zone_schedule_player.py
+++ b/arrowseam/lab/zone_schedule_player.py
@@ -76,7 +76,7 @@
 
     def _power_off_zone(self, step: Step) -> None:
         for name in step.who:
-            self.net.off.add(name)
+            self.net.powered_off.add(name)
             self._kill(name)
         if step.number:
             self.net.at(self.net.now + step.span, lambda: self._power(step.who))
@@ -97,7 +97,7 @@
     def _power(self, who: tuple[str, ...]) -> None:
         for name in who:
             if name not in self.dark:
-                self.net.off.discard(name)
+                self.net.powered_off.discard(name)
                 self._start(name)
 
     def _again(self, name: str) -> None:
@@ -110,7 +110,7 @@
     def _reach(self) -> dict[str, frozenset[str]]:
         """Who can get a word to each, by whatever way round."""
         net = self.net
-        able = [n for n, p in net.running.items() if p.stalled_until <= net.now and n not in net.off]
+        able = [n for n, p in net.running.items() if p.stalled_until <= net.now and n not in net.powered_off]
         into = {b: [a for a in able if a != b and (a, b) not in net.cut] for b in able}
         found = {}
         for name in able:
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -58,7 +58,7 @@
 def crash(net: SimulatedCluster, name: str, silent: bool) -> tuple[float, float]:
     """Seconds until the first and until all hold a member for ended."""
     if silent:
-        net.off.add(name)
+        net.powered_off.add(name)
     net.kill(name)
     began = net.now
 
@@ -325,7 +325,7 @@
 
     def dark(self, names: list[str]) -> None:
         for name in names:
-            self.net.off.add(name)
+            self.net.powered_off.add(name)
             self.net.kill(name)
 
     def restart(self, name: str) -> None:
@@ -391,7 +391,7 @@
                 )
             case "crash" | "crash, silent":
                 if "silent" in row.scenario:
-                    net.off.add(some[0])
+                    net.powered_off.add(some[0])
                 net.kill(some[0])
                 self.lost(some[:1])
             case "zone":
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -235,7 +235,7 @@
 def silent(net: Fleet, names: list[str]) -> float:
     """They lose power; seconds until nobody who runs holds them for alive."""
     for name in names:
-        net.off.add(name)
+        net.powered_off.add(name)
         net.kill(name)
     gone = set(names)
 
@@ -273,7 +273,7 @@
     net = standing(zones_of(members), seed)
     began = net.now
     for name in net.of(1):
-        net.off.add(name)
+        net.powered_off.add(name)
         net.kill(name)
     lost = "z01"
     took = net.until(lambda: all(v.zones.by_name[lost].silent for v in views(net)), 30 * SECOND)
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -314,7 +314,7 @@
 def test_a_stall_is_counted_once_and_dead_members_are_still_declared_dead() -> None:
     """Each datagram queued during a stall postponed the suspicions by the whole stall: they never ended."""
     net = running_cluster(6)
-    net.off.add("m5")
+    net.powered_off.add("m5")
     net.kill("m5")
     net.run(net.now + 600 * MS)
     net.stall("m2", 10 * SECOND)
@@ -452,7 +452,7 @@
     An operator may declare it left; an active or unknown member cannot be declared left.
     """
     net = running_cluster(4)
-    net.off.add("m3")
+    net.powered_off.add("m3")
     net.kill("m3")
     assert_converges(net, 8 * SECOND)
     net.run(net.now + 20 * SECOND)
@@ -657,7 +657,7 @@
 def an_unrefused_death_is_known_to_40_members_within_4_seconds(view_type: type[ClusterView]) -> bool:
     """Without gossip each member would have to detect the death by itself."""
     net = running_cluster(40, view=view_type)
-    net.off.add("m5")
+    net.powered_off.add("m5")
     net.kill("m5")
     took = net.until(net.agreed, 30 * SECOND)
     return took is not None and took <= 4 * SECOND
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -101,7 +101,7 @@
     heartbeat = net.running[members_of(net, "b")[0]].view.zones.by_name["a"].heartbeat
     for name in speakers(net, "a"):
         if unrefused:
-            net.off.add(name)
+            net.powered_off.add(name)
         net.kill(name)
     net.run(net.now + 12 * SECOND)
     assert not logged(net, "zone.silent")
@@ -202,9 +202,9 @@
     net = SimulatedCluster(150, seed, zones={"a": 50, "b": 50, "c": 50})
     seeds = {host for settings in net.settings_of.values() for host, _ in settings.seeds}
     running_seed = "m0"
-    net.off |= seeds - {running_seed}
+    net.powered_off |= seeds - {running_seed}
     for name in net.names:
-        if name not in net.off:
+        if name not in net.powered_off:
             net.start(name)
     assert len(seeds) == 9
     took = net.until(net.agreed, 30 * SECOND)
@@ -513,7 +513,7 @@
 def _has_expected_share(net: SimulatedCluster, name: str) -> Callable[[], bool]:
     process = net.running[name]
     zone = net.zone_of[name]
-    unreachable = sum(net.zone_of[n] == zone for n in net.off)
+    unreachable = sum(net.zone_of[n] == zone for n in net.powered_off)
     part = Fraction(net.zones[zone], net.configured) if net.zones else Fraction(1)
     expected = proxy_count(len(members_of(net, zone)), len(members_of(net, zone)), 0, unreachable, part)
     return lambda: process.proxy_count.value <= expected
@@ -531,7 +531,7 @@
     net.start_established()
     net.run(net.now + SECOND)
     for name in net.names[10 : 10 + unreachable]:
-        net.off.add(name)
+        net.powered_off.add(name)
         net.kill(name)
     net.run(net.now + 20 * SECOND)
     net.start("m1")
@@ -545,7 +545,7 @@
     """A whole zone loses power, then a member of another zone restarts."""
     net = zoned_cluster({"a": 40, "b": 40})
     for name in members_of(net, "b"):
-        net.off.add(name)
+        net.powered_off.add(name)
         net.kill(name)
     net.run(net.now + 15 * SECOND)
     net.start("m1")
@@ -831,7 +831,7 @@
     """The heartbeat goes on while the first speaker has ended unnoticed and is not yet declared dead."""
     net = zoned_cluster({"a": 12, "b": 2}, view=view)
     first, other = speakers(net, "a")[:2]
-    net.off.add(first)
+    net.powered_off.add(first)
     net.kill(first)
     zone = net.running[other].view.zones.by_name["a"]
     longest = 0
--- a/tests/test_zone_silence.py
+++ b/tests/test_zone_silence.py
@@ -101,7 +101,7 @@
     links = net.partition(["m0"], net.names[1:])
     net.run(net.now + 4 * SECOND)
     for name in members_of(net, "b"):
-        net.off.add(name)
+        net.powered_off.add(name)
         net.kill(name)
     net.run(net.now + 20 * SECOND)
     net.heal(links)
@@ -114,7 +114,7 @@
 def test_a_starting_member_learns_at_once_that_a_zone_has_long_been_silent() -> None:
     net = running_cluster({"a": 3, "b": 3, "c": 3})
     for name in members_of(net, "b"):
-        net.off.add(name)
+        net.powered_off.add(name)
         net.kill(name)
     net.run(net.now + 20 * SECOND)
     net.start("m1")
