--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -96,7 +96,7 @@
             dealt = [zone for zone, count in zones.items() for _ in range(count)]
             self.zone_of = dict(zip(self.names, dealt))
         self.settings_of = {zone: self._settings_for(zone, seeds, abroad) for zone in self.zones or [""]}
-        self.cut: set[tuple[str, str]] = set()  # (sender, receiver) between which nothing arrives
+        self.cut_links: set[tuple[str, str]] = set()  # (sender, receiver) between which nothing arrives
         self.reachability_version = 0  # rises whenever who can reach whom may have changed
         self.powered_off: set[str] = set()  # hosts without power: they refuse nothing
         self.skew: dict[str, int] = {}  # of a machine's wall clock, microseconds
@@ -290,7 +290,11 @@
         return self.rnd.randint(*self.delay)
 
     def _open(self, one: str, other: str) -> bool:
-        return (one, other) not in self.cut and one not in self.powered_off and other not in self.powered_off
+        return (
+            (one, other) not in self.cut_links
+            and one not in self.powered_off
+            and other not in self.powered_off
+        )
 
     def _charge(self, name: str, size: int) -> None:
         if self.tally is not None:
@@ -364,13 +368,13 @@
             for a in ours
             for b in theirs
         }
-        self.cut |= ways
+        self.cut_links |= ways
         self.reachability_version += 1
         return ways
 
     def heal(self, ways: set[tuple[str, str]] | None = None) -> None:
         """End these cuts, or all."""
-        self.cut = self.cut - ways if ways is not None else set()
+        self.cut_links = self.cut_links - ways if ways is not None else set()
         self.reachability_version += 1
 
     # --- what a referee sees ---
--- a/arrowseam/lab/zone_schedule_player.py
+++ b/arrowseam/lab/zone_schedule_player.py
@@ -111,7 +111,7 @@
         """Who can get a word to each, by whatever way round."""
         net = self.net
         able = [n for n, p in net.running.items() if p.stalled_until <= net.now and n not in net.powered_off]
-        into = {b: [a for a in able if a != b and (a, b) not in net.cut] for b in able}
+        into = {b: [a for a in able if a != b and (a, b) not in net.cut_links] for b in able}
         found = {}
         for name in able:
             seen, todo = {name}, [name]
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -287,7 +287,7 @@
     Others probe it on their behalf, so it is not declared dead and declares no member dead.
     """
     net = running_cluster(6)
-    net.cut = {("m0", name) for name in net.names[1:3]}  # m0 reaches only some of the others
+    net.cut_links = {("m0", name) for name in net.names[1:3]}  # m0 reaches only some of the others
     net.run(net.now + 15 * SECOND)
     assert all(net.active_names(p) == set(net.names) for p in net.running.values())
 
@@ -583,7 +583,7 @@
     def part(self, first: int) -> None:
         self.net.partition(self.net.names[:first], self.net.names[first:])
 
-    @precondition(lambda self: self.net.cut)
+    @precondition(lambda self: self.net.cut_links)
     @rule()
     def heal(self) -> None:
         self.net.heal()
