--- a/arrowseam/lab/schedule_player.py
+++ b/arrowseam/lab/schedule_player.py
@@ -46,7 +46,7 @@
 
     broken: list[str]
     settled: int | None = None  # microseconds after the last fault
-    share: float = 0.0
+    share_sum_max: float = 0.0
     messages: int = 0
     strangers: bool = False  # two sides that never met, and none runs whose address both were given
 
@@ -73,9 +73,9 @@
 
     def _watch(self) -> None:
         net = self.net
-        if net.share > 1.0 + 1e-9:
-            self._fault(f"shares sum to {net.share:.2f}")
-            net.share = 0.0
+        if net.share_sum_max > 1.0 + 1e-9:
+            self._fault(f"shares sum to {net.share_sum_max:.2f}")
+            net.share_sum_max = 0.0
         for server, state in self.cordons.items():
             if state == "out" and not any(server in p.cordoned for p in net.running.values()):
                 self.cordons[server] = "open"  # all who knew of it have ended
@@ -217,7 +217,7 @@
         end = net.now
         settled = net.until(net.agreed, 3 * SETTLE)
         if settled is None and not self._can_meet():
-            return Verdict(list(self.broken), None, net.share, net.sent, strangers=True)
+            return Verdict(list(self.broken), None, net.share_sum_max, net.sent, strangers=True)
         if settled is None or settled > SETTLE_MAX:
             self._fault(f"views differ {SETTLE_MAX // SECOND} s after the last fault")
         if (settled or 3 * SETTLE) > HELD_DEAD:
@@ -231,7 +231,7 @@
             self._fault("views that were equal differ again")
         self._judge_cordons()
         self._judge_processes(f", with {net.configured - len(net.running)} ended")
-        return Verdict(list(self.broken), settled, net.share, net.sent)
+        return Verdict(list(self.broken), settled, net.share_sum_max, net.sent)
 
     def _run_steps(self) -> None:
         """Run until the last fault is over: then nothing is stalled, cut or lost any more."""
--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -107,7 +107,7 @@
         self.watch: Callable[[], None] = lambda: None  # called after every event
         self.taken = 0  # the shares of all running processes, in units
         self.sum = 0.0  # the same as a part of the budget
-        self.share = 0.0  # the largest that it ever was
+        self.share_sum_max = 0.0  # the largest that it ever was
 
     def _settings_for(self, zone: str, seeds: int, abroad: int) -> MembershipSettings:
         """Seeds are the first of its zone, and so many of each other."""
@@ -283,7 +283,7 @@
             self._share(process)
         if view.due is not None:
             self._arm(process, view.due)
-        self.share = max(self.share, self.sum)
+        self.share_sum_max = max(self.share_sum_max, self.sum)
         self.watch()
 
     def _late(self) -> int:
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -113,12 +113,12 @@
 
 def play(seed: int) -> tuple[int, list[str], int | None, float, bool]:
     verdict = Player(draw(seed)).play()
-    return seed, verdict.broken, verdict.settled, verdict.share, verdict.strangers
+    return seed, verdict.broken, verdict.settled, verdict.share_sum_max, verdict.strangers
 
 
 def play_zones(seed: int) -> tuple[int, list[str], int | None, float, bool]:
     verdict = ZonePlayer(draw_zones(seed)).play()
-    return seed, verdict.broken, verdict.settled, verdict.share, verdict.strangers
+    return seed, verdict.broken, verdict.settled, verdict.share_sum_max, verdict.strangers
 
 
 def schedules(count: int, first: int, jobs: int, play: Any = play) -> int:
@@ -310,7 +310,7 @@
                 "p999": 1e3 * _at(took, 0.999),
                 "most": 1e3 * took[-1],
             }
-        row.events, row.share = len(took), net.share
+        row.events, row.share = len(took), net.share_sum_max
         for members in self.zones.values():
             here = {n for n in members if n in net.running}
             row.false += sum(len(here - net.active_names(net.running[n])) for n in here)
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -361,7 +361,7 @@
     net.run(net.now + 15 * SECOND)
     expected = proxy_count(members, members, members // 2, 0)
     assert {p.proxy_count.value for p in net.running.values()} == {expected}
-    assert net.share <= 1 + 1e-9
+    assert net.share_sum_max <= 1 + 1e-9
 
 
 def test_a_restart_of_all_members_within_a_second_converges() -> None:
@@ -595,7 +595,7 @@
     @invariant()
     def no_budget_is_exceeded(self) -> None:
         if hasattr(self, "net"):
-            assert self.net.share <= 1 + 1e-9
+            assert self.net.share_sum_max <= 1 + 1e-9
             for process in self.net.running.values():
                 assert process.proxy_count.value >= len(process.view.members.ring.names) * 0.7
 
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -111,7 +111,7 @@
         assert zone.summary is not None
         assert zone.summary.active == 9
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
 
 
 def test_a_stalled_speaker_does_not_restore_an_old_summary() -> None:
@@ -129,7 +129,7 @@
     summaries = [net.running[name].view.zones.by_name["a"].summary for name in members_of(net, "b")]
     assert {(s.active, s.dead, s.ended) for s in summaries if s} == {(6, 0, 2)}
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert not logged(net, "zone.silent")
 
 
@@ -141,7 +141,7 @@
     net.partition(*(groups if from_c else groups[::-1]), one_way=True)
     net.run(net.now + 20 * SECOND)
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert set(silence_by_member(net, "c").values()) == {from_c}
     assert {silence_by_member(net, "a")[name] for name in members_of(net, "c")} == {not from_c}
     net.heal()
@@ -170,7 +170,7 @@
     net.run(net.now + 8 * SECOND)
     assert not any(any(silence_by_member(net, zone).values()) for zone in "abcd")
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert not logged(net, "member.dead")
 
 
@@ -191,7 +191,7 @@
 def test_a_zone_of_two_thousand_members() -> None:
     net = zoned_cluster({"a": 2_000, "b": 10}, span=300 * MS)
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert not logged(net, "zone.silent")
     assert not logged(net, "member.suspect")
     assert {p.view.evidence.proxy_count() for p in net.running.values()} == {2_010}
@@ -215,7 +215,7 @@
     assert net.until(lambda: max(count() for count in counts) <= expected_max, 1_500 * MS - took) is not None
     net.run(net.now + 5 * SECOND)
     assert max(count() for count in counts) <= expected_max
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     sent = net.running[running_seed].view.counters["bytes_out"]
     print(f"converged after {took / SECOND:.2f} s; the running seed sent {sent} bytes")
 
@@ -232,7 +232,7 @@
     assert ours.me.name == theirs.me.name == "m0"
     assert set(net.active_names(net.running["m0"])) == set(members_of(net, "a"))
     assert set(net.active_names(net.running["m11"])) == {*members_of(net, "b"), "m0"} - {"m11"}
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert not logged(net, "member.dead")
     assert not logged(net, "member.gone")
 
@@ -265,7 +265,7 @@
     net.start("m0")
     net.run(net.now + 15 * SECOND)
     assert not any(p.view.evidence.never_counts_out for p in net.running.values())
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert net.agreed()
 
 
@@ -277,18 +277,18 @@
     net.zone_of["m0"] = "b"
     net.start("m0")
     net.run(net.now + 15 * SECOND)
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     net.heal(ways)
     net.run(net.now + 15 * SECOND)
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert all("m0" not in net.active_names(net.running[name]) for name in members_of(net, "a"))
     assert net.running["m7"].proxy_count.value == proxy_count(6, 7, 0, 0, Fraction(1, 2))
     net.zone_of["m0"] = "a"
     net.start("m0")
     net.run(net.now + 15 * SECOND)
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert "m0" in net.active_names(net.running["m1"])
 
 
@@ -306,7 +306,7 @@
         net.until(lambda: {p.view.members.known_count for p in net.running.values()} == {6}, 30 * SECOND)
         is not None
     )
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
 
 
 def test_a_zone_table_mismatch_is_reported_and_harmless() -> None:
@@ -317,7 +317,7 @@
     net.run(net.now + 15 * SECOND)
     assert logged(net, "zone.table_mismatch")
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
 
 
 def test_a_late_datagram_of_a_previous_process_in_another_zone_ends_no_member() -> None:
@@ -339,7 +339,7 @@
         net._arrive((name, 7000), late)
     net.run(net.now + 10 * SECOND)
     assert all(net.running[name].view.evidence.counted_out_count == 0 for name in members_of(net, "a"))
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
 
 
 # --- summaries --------------------------------------------------------------------------------------------
@@ -383,7 +383,7 @@
     net.run(net.now + 10 * SECOND)
     assert not any(silence_by_member(net, "a").values())
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
 
 
 def test_loss_and_duplicates_restore_no_old_summary() -> None:
@@ -396,7 +396,7 @@
     summaries = [net.running[name].view.zones.by_name["a"].summary for name in members_of(net, "b")]
     assert {(s.active, s.dead, s.ended) for s in summaries if s} == {(5, 0, 3)}
     assert None not in summaries
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
 
 
 # --- wire format ------------------------------------------------------------------------------------------
@@ -537,7 +537,7 @@
     net.start("m1")
     took = net.until(_has_expected_share(net, "m1"), 10 * SECOND)
     assert took is not None
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     print(f"its share after {took / SECOND:.2f} s: 1/{net.running['m1'].proxy_count.value}")
 
 
@@ -551,7 +551,7 @@
     net.start("m1")
     took = net.until(lambda: net.running["m1"].proxy_count.value <= 80, 10 * SECOND)
     assert took is not None
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     print(f"its whole share after {took / SECOND:.2f} s")
 
 
@@ -671,7 +671,7 @@
     assert net.until(net.agreed, 10 * SECOND) is not None
     net.run(net.now + 10 * SECOND)
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert {p.proxy_count.value for p in net.running.values()} == {12}
     assert all(p.view.counters["junk"] == 0 for p in net.running.values())
 
@@ -691,7 +691,7 @@
     for name in net.names[1:]:
         restart_as(net, name, ClusterView)
     net.run(net.now + 20 * SECOND)
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -739,7 +739,7 @@
         net.run(net.now + 10 * SECOND)
     net.run(net.now + 20 * SECOND)  # drops members of other zones that were known before the zones
     assert net.agreed()
-    assert net.share <= SHARE_MAX
+    assert net.share_sum_max <= SHARE_MAX
     assert {p.proxy_count.value for p in net.running.values()} == {9}
     assert not any(p.view.evidence.never_counts_out for p in net.running.values())
 
@@ -867,7 +867,7 @@
     net = zoned_cluster({"a": 6, "b": 6}, view=view)
     net.partition(members_of(net, "a"), members_of(net, "b"))
     net.run(net.now + 12 * SECOND)
-    return all(silence_by_member(net, "a").values()) and net.share <= SHARE_MAX
+    return all(silence_by_member(net, "a").values()) and net.share_sum_max <= SHARE_MAX
 
 
 def _never_counting_out_is_safe_with_previous_version(view: type[ClusterView]) -> bool:
@@ -881,7 +881,7 @@
     for name in net.names[1:]:
         restart_as(net, name, view)
     net.run(net.now + 20 * SECOND)
-    return net.share <= SHARE_MAX
+    return net.share_sum_max <= SHARE_MAX
 
 
 @pytest.mark.parametrize(
