--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -106,7 +106,7 @@
         self.tally: dict[str, int] | None = None  # bytes out and in, by member, where somebody wants them
         self.watch: Callable[[], None] = lambda: None  # called after every event
         self.taken = 0  # the shares of all running processes, in units
-        self.sum = 0.0  # the same as a part of the budget
+        self.share_sum = 0.0  # the same as a part of the budget
         self.share_sum_max = 0.0  # the largest that it ever was
 
     def _settings_for(self, zone: str, seeds: int, abroad: int) -> MembershipSettings:
@@ -179,7 +179,7 @@
 
     def _take(self, more: int) -> None:
         self.taken += more
-        self.sum = self.taken / BUDGET_UNITS
+        self.share_sum = self.taken / BUDGET_UNITS
 
     def _share(self, process: Process) -> None:
         now = units(process.proxy_count.value)
@@ -283,7 +283,7 @@
             self._share(process)
         if view.due is not None:
             self._arm(process, view.due)
-        self.share_sum_max = max(self.share_sum_max, self.sum)
+        self.share_sum_max = max(self.share_sum_max, self.share_sum)
         self.watch()
 
     def _late(self) -> int:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -160,8 +160,8 @@
         looks[0] += 1
         assert net.taken == sum(units(p.proxy_count.value) for p in net.running.values())
         exact = sum((Fraction(1, p.proxy_count.value) for p in net.running.values()), Fraction(0))
-        assert abs(net.sum - float(exact)) < 1e-15 * max(1, len(net.running))
-        assert net.share_sum_max >= net.sum
+        assert abs(net.share_sum - float(exact)) < 1e-15 * max(1, len(net.running))
+        assert net.share_sum_max >= net.share_sum
         watch()
 
     net.watch = plain
@@ -210,7 +210,7 @@
     assert net.until(net.agreed, 10 * SECOND, 500_000) is not None
     # A zone has its part: those that have ended among 250 change nobody's but theirs.
     assert {p.proxy_count.value for name, p in net.running.items() if net.zone_of[name] != "z0"} == {6_500}
-    assert 0.99 < net.sum <= net.share_sum_max <= 1.0
+    assert 0.99 < net.share_sum <= net.share_sum_max <= 1.0
 
 
 @pytest.fixture
