--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -105,7 +105,7 @@
         self.sent = self.bytes = 0
         self.tally: dict[str, int] | None = None  # bytes out and in, by member, where somebody wants them
         self.watch: Callable[[], None] = lambda: None  # called after every event
-        self.taken = 0  # the shares of all running processes, in units
+        self.total_units = 0  # the shares of all running processes, in units
         self.share_sum = 0.0  # the same as a part of the budget
         self.share_sum_max = 0.0  # the largest that it ever was
 
@@ -178,8 +178,8 @@
     # --- shares of a budget ---
 
     def _take(self, more: int) -> None:
-        self.taken += more
-        self.share_sum = self.taken / BUDGET_UNITS
+        self.total_units += more
+        self.share_sum = self.total_units / BUDGET_UNITS
 
     def _share(self, process: Process) -> None:
         now = units(process.proxy_count.value)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -158,7 +158,7 @@
 
     def plain() -> None:
         looks[0] += 1
-        assert net.taken == sum(units(p.proxy_count.value) for p in net.running.values())
+        assert net.total_units == sum(units(p.proxy_count.value) for p in net.running.values())
         exact = sum((Fraction(1, p.proxy_count.value) for p in net.running.values()), Fraction(0))
         assert abs(net.share_sum - float(exact)) < 1e-15 * max(1, len(net.running))
         assert net.share_sum_max >= net.share_sum
@@ -175,9 +175,9 @@
     for name in net.names:
         net.start(name)
     assert net.until(net.agreed, 10 * SECOND) is not None
-    taken, told = net.taken, net.running["m1"].proxy_count.value
+    taken, told = net.total_units, net.running["m1"].proxy_count.value
     net.kill("m1")
-    assert net.taken == taken - units(told)
+    assert net.total_units == taken - units(told)
     assert net.until(net.agreed, 10 * SECOND) is not None
 
 
