--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -35,7 +35,7 @@
 BUDGET_UNITS = 1 << 100  # of a budget: shares are summed in whole numbers, so that the sum is exact
 
 
-def units(proxy_count: int) -> int:
+def share_units(proxy_count: int) -> int:
     """Return the share of a process that divides a budget by so many, rounded up."""
     return -(-BUDGET_UNITS // proxy_count)
 
@@ -182,7 +182,7 @@
         self.share_sum = self.total_units / BUDGET_UNITS
 
     def _share(self, process: Process) -> None:
-        now = units(process.proxy_count.value)
+        now = share_units(process.proxy_count.value)
         if now != process.units:
             more, process.units = now - process.units, now
             if process.alive:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from arrowseam.lab.scale_plan import Machine, Plan, PlanError
 from arrowseam.lab.schedule_drawing import draw
 from arrowseam.lab.schedule_player import Player
-from arrowseam.lab.simulated_cluster import SECOND, SimulatedCluster, units
+from arrowseam.lab.simulated_cluster import SECOND, SimulatedCluster, share_units
 from arrowseam.membership.settings import MembershipSettings
 from arrowseam.net.clock import clock
 from arrowseam.net.connection import Connection
@@ -158,7 +158,7 @@
 
     def plain() -> None:
         looks[0] += 1
-        assert net.total_units == sum(units(p.proxy_count.value) for p in net.running.values())
+        assert net.total_units == sum(share_units(p.proxy_count.value) for p in net.running.values())
         exact = sum((Fraction(1, p.proxy_count.value) for p in net.running.values()), Fraction(0))
         assert abs(net.share_sum - float(exact)) < 1e-15 * max(1, len(net.running))
         assert net.share_sum_max >= net.share_sum
@@ -177,7 +177,7 @@
     assert net.until(net.agreed, 10 * SECOND) is not None
     taken, told = net.total_units, net.running["m1"].proxy_count.value
     net.kill("m1")
-    assert net.total_units == taken - units(told)
+    assert net.total_units == taken - share_units(told)
     assert net.until(net.agreed, 10 * SECOND) is not None
 
 
