--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -103,7 +103,9 @@
         self.running: dict[str, Process] = {}
         self.log_events: list[tuple[int, str, LogEvent]] = []
         self.sent = self.bytes = 0
-        self.tally: dict[str, int] | None = None  # bytes out and in, by member, where somebody wants them
+        self.bytes_by_member: dict[str, int] | None = (
+            None  # bytes out and in, by member, where somebody wants them
+        )
         self.watch: Callable[[], None] = lambda: None  # called after every event
         self.total_units = 0  # the shares of all running processes, in units
         self.share_sum = 0.0  # the same as a part of the budget
@@ -297,8 +299,8 @@
         )
 
     def _charge(self, name: str, size: int) -> None:
-        if self.tally is not None:
-            self.tally[name] = self.tally.get(name, 0) + size
+        if self.bytes_by_member is not None:
+            self.bytes_by_member[name] = self.bytes_by_member.get(name, 0) + size
 
     def _datagram(self, sender: str, to: Address, data: bytes) -> None:
         self.sent += 1
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -236,7 +236,7 @@
 
     def __init__(self, *given: Any, **fields: Any) -> None:
         super().__init__(*given, **fields)
-        self.tally = {}
+        self.bytes_by_member = {}
         self.tallies: list[dict[str, int]] = []
 
     def _wake(self, process: Process) -> None:
@@ -245,8 +245,8 @@
         self.took.append(time.thread_time() - began)
 
     def second(self) -> None:
-        self.tallies.append(self.tally or {})
-        self.tally = {}
+        self.tallies.append(self.bytes_by_member or {})
+        self.bytes_by_member = {}
 
 
 class Scenario:
@@ -321,7 +321,7 @@
     def quiet(self) -> None:
         """From here on it is counted."""
         net = self.net
-        net.tally, net.tallies, net.took = {}, [], []
+        net.bytes_by_member, net.tallies, net.took = {}, [], []
 
     def dark(self, names: list[str]) -> None:
         for name in names:
