--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -73,10 +73,10 @@
         share_rule: Callable[..., int] = proxy_count,
         configured: int | None = None,
         zones: dict[str, int] | None = None,
-        abroad: int = 1,
+        foreign_seeds: int = 1,
     ) -> None:
-        """``zones``: sizes by name; the members are assigned in order. ``abroad``: seeds that each member has
-        of each other zone; an established cluster needs none.
+        """``zones``: sizes by name; the members are assigned in order.
+        ``foreign_seeds``: seeds that each member has of each other zone; an established cluster needs none.
         """
         super().__init__()
         self.rnd = random.Random(seed)
@@ -95,7 +95,9 @@
                 raise ValueError(f"zones of {sum(zones.values())} in all, {members} members")
             dealt = [zone for zone, count in zones.items() for _ in range(count)]
             self.zone_of = dict(zip(self.names, dealt))
-        self.settings_of = {zone: self._settings_for(zone, seeds, abroad) for zone in self.zones or [""]}
+        self.settings_of = {
+            zone: self._settings_for(zone, seeds, foreign_seeds) for zone in self.zones or [""]
+        }
         self.cut_links: set[tuple[str, str]] = set()  # (sender, receiver) between which nothing arrives
         self.reachability_version = 0  # rises whenever who can reach whom may have changed
         self.powered_off: set[str] = set()  # hosts without power: they refuse nothing
@@ -111,7 +113,7 @@
         self.share_sum = 0.0  # the same as a part of the budget
         self.share_sum_max = 0.0  # the largest that it ever was
 
-    def _settings_for(self, zone: str, seeds: int, abroad: int) -> MembershipSettings:
+    def _settings_for(self, zone: str, seeds: int, foreign_seeds: int) -> MembershipSettings:
         """Seeds are the first of its zone, and so many of each other."""
         if not self.zones:
             return self.settings
@@ -119,7 +121,7 @@
         for name, other in self.zone_of.items():
             firsts.setdefault(other, []).append(name)
         chosen = firsts[zone][:seeds]
-        chosen += [n for other, names in firsts.items() if other != zone for n in names[:abroad]]
+        chosen += [n for other, names in firsts.items() if other != zone for n in names[:foreign_seeds]]
         more: dict[str, Any] = {"zone": zone, "zones": tuple(self.zones.items())}
         return replace(self.settings, seeds=tuple((name, PORT) for name in chosen), **more)
 
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -254,7 +254,7 @@
         self.row = Row(name, members, zones, seconds)
         sizes = [members // zones + (z < members % zones) for z in range(zones)]
         table = {f"z{z}": count for z, count in enumerate(sizes)} if zones > 1 else None
-        self.net = net = Sized(members, seed, zones=table, abroad=int(name == "mass start"))
+        self.net = net = Sized(members, seed, zones=table, foreign_seeds=int(name == "mass start"))
         self.rnd = random.Random(seed)
         self.zones: dict[str, list[str]] = {}
         for member in net.names:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -194,7 +194,7 @@
 def test_6500_members_in_26_zones_stand_and_take_a_cordon_and_an_end(gc_off: None) -> None:
     """The period is stretched to 3 s and the zones have 250: what is tried here is the number."""
     settings = MembershipSettings(probe_interval=3 * SECOND, probe_timeout=SECOND)
-    net = SimulatedCluster(6_500, 1, settings, zones={f"z{z}": 250 for z in range(26)}, abroad=0)
+    net = SimulatedCluster(6_500, 1, settings, zones={f"z{z}": 250 for z in range(26)}, foreign_seeds=0)
     net.start_established()
     ended = [f"m{n}" for n in range(7, 250, 19)]
     for name in ended:
