--- a/arrowseam/lab/schedule_player.py
+++ b/arrowseam/lab/schedule_player.py
@@ -48,7 +48,7 @@
     settled: int | None = None  # microseconds after the last fault
     share_sum_max: float = 0.0
     messages: int = 0
-    strangers: bool = False  # two sides that never met, and none runs whose address both were given
+    never_connected: bool = False  # two sides that never met, and none runs whose address both were given
 
 
 class Player:
@@ -217,7 +217,7 @@
         end = net.now
         settled = net.until(net.agreed, 3 * SETTLE)
         if settled is None and not self._can_meet():
-            return Verdict(list(self.broken), None, net.share_sum_max, net.sent, strangers=True)
+            return Verdict(list(self.broken), None, net.share_sum_max, net.sent, never_connected=True)
         if settled is None or settled > SETTLE_MAX:
             self._fault(f"views differ {SETTLE_MAX // SECOND} s after the last fault")
         if (settled or 3 * SETTLE) > HELD_DEAD:
--- a/arrowseam/lab/zone_schedule_player.py
+++ b/arrowseam/lab/zone_schedule_player.py
@@ -233,7 +233,7 @@
         if settled is None and net.until(self._alike, 3 * SETTLE) is not None:
             settled = net.now - end
         if settled is None and not (met and self._can_meet()):
-            return Verdict(list(self.broken), None, net.share_sum_max, net.sent, strangers=True)
+            return Verdict(list(self.broken), None, net.share_sum_max, net.sent, never_connected=True)
         if settled is None or settled > SETTLE_MAX:
             self._fault(f"views differ {SETTLE_MAX // SECOND} s after the last fault")
         net.run(max(net.now, end + SILENT_KNOWN + 3 * CHECK_INTERVAL))
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -113,12 +113,12 @@
 
 def play(seed: int) -> tuple[int, list[str], int | None, float, bool]:
     verdict = Player(draw(seed)).play()
-    return seed, verdict.broken, verdict.settled, verdict.share_sum_max, verdict.strangers
+    return seed, verdict.broken, verdict.settled, verdict.share_sum_max, verdict.never_connected
 
 
 def play_zones(seed: int) -> tuple[int, list[str], int | None, float, bool]:
     verdict = ZonePlayer(draw_zones(seed)).play()
-    return seed, verdict.broken, verdict.settled, verdict.share_sum_max, verdict.strangers
+    return seed, verdict.broken, verdict.settled, verdict.share_sum_max, verdict.never_connected
 
 
 def schedules(count: int, first: int, jobs: int, play: Any = play) -> int:
