--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -525,7 +525,7 @@
     SuspicionNeverEnds,
     DeathsNotGossiped,
 )
-NUMBERS: tuple[Callable[[int, int, int, int], int], ...] = (
+SHARE_RULES: tuple[Callable[[int, int, int, int], int], ...] = (
     no_reserve,
     rounded_down,
     unconfirmed_for_free,
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -139,14 +139,14 @@
 
 def caught(job: tuple[int, int]) -> tuple[int, list[str]]:
     index, seed = job
-    faults = [*mutants.VIEWS, *mutants.NUMBERS]
+    faults = [*mutants.VIEWS, *mutants.SHARE_RULES]
     if index < len(mutants.VIEWS):
         return index, Player(draw(seed), view=mutants.VIEWS[index]).play().broken
     return index, Player(draw(seed), share_rule=faults[index]).play().broken  # type: ignore[arg-type]
 
 
 def bite(count: int, jobs: int) -> None:
-    faults = [*mutants.VIEWS, *mutants.NUMBERS]
+    faults = [*mutants.VIEWS, *mutants.SHARE_RULES]
     with Pool(jobs) as pool:
         work = [(n, seed) for n in range(len(faults)) for seed in range(count)]
         rows = pool.map(caught, work, chunksize=20)
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -534,7 +534,7 @@
     assert Player(schedule, view=view).play().broken
 
 
-@pytest.mark.parametrize("share_rule", mutants.NUMBERS)
+@pytest.mark.parametrize("share_rule", mutants.SHARE_RULES)
 def test_schedules_detect_a_proxy_count_that_is_too_small(share_rule) -> None:
     assert Player(SPLIT_WITH_RESTARTS).play().broken == []
     assert any("shares" in text for text in Player(SPLIT_WITH_RESTARTS, share_rule=share_rule).play().broken)
