--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -28,7 +28,7 @@
 
 MS, SECOND = 1_000, 1_000_000
 STREAM_TIMEOUT = 500 * MS
-WALL = 1_700_000_000_000_000  # the wall clock when a run begins, microseconds
+WALL_CLOCK_START = 1_700_000_000_000_000  # the wall clock when a run begins, microseconds
 PORT = 7000
 RETRANSMIT = 200 * MS  # of a segment of a stream
 EXACT_MEMBERS_MAX = 250  # in larger runs a proxy count is computed anew only where its inputs have changed
@@ -142,7 +142,7 @@
 
     def record(self, name: str) -> MemberRecord:
         """Of a process that would start now."""
-        wall = WALL + self.now + self.skew.get(name, 0)
+        wall = WALL_CLOCK_START + self.now + self.skew.get(name, 0)
         more: dict[str, Any] = {"zone": self.zone_of[name]} if self.zones else {}
         return MemberRecord(name, wall, self.rnd.getrandbits(62), 0, State.ALIVE, name, PORT, **more)
 
@@ -212,7 +212,7 @@
         process = self.running.get(name)
         if process is not None:
             (process.cordoned.add if out else process.cordoned.discard)(server)
-            wall = (WALL + self.now + self.skew.get(name, 0)) // MS
+            wall = (WALL_CLOCK_START + self.now + self.skew.get(name, 0)) // MS
             self._act(process, lambda: process.view.set_cordon(self.now, wall, server, out))
 
     # --- the network ---
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -41,7 +41,7 @@
 from arrowseam.capacity import runs  # noqa: E402
 from arrowseam.capacity.table import CONTROL, LAB, OPS, OUTSIDE, PATH, SHARD, VOTER  # noqa: E402
 from arrowseam.lab.local_cluster import CAPS, LANES, RULES, free_ports  # noqa: E402
-from arrowseam.lab.simulated_cluster import MS, PORT, SECOND, WALL, SimulatedCluster  # noqa: E402
+from arrowseam.lab.simulated_cluster import MS, PORT, SECOND, WALL_CLOCK_START, SimulatedCluster  # noqa: E402
 from arrowseam.membership.effects import OpenStream, SendDatagram  # noqa: E402
 from arrowseam.membership.proxy_share import proxy_count  # noqa: E402
 from arrowseam.membership.records import MemberInfo, MemberRecord, State  # noqa: E402
@@ -128,7 +128,15 @@
     """With names and addresses as long as real ones."""
 
     def one(n: int) -> MemberRecord:
-        who = f"{zone}-n{n}", WALL + n, rnd.getrandbits(62), 0, State.ALIVE, f"10.20.30.{n % 250}", PORT
+        who = (
+            f"{zone}-n{n}",
+            WALL_CLOCK_START + n,
+            rnd.getrandbits(62),
+            0,
+            State.ALIVE,
+            f"10.20.30.{n % 250}",
+            PORT,
+        )
         return MemberRecord(*who, zone=zone)
 
     return [one(n) for n in range(count)]
@@ -346,7 +354,7 @@
     gc.collect()
     memory = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    me = MemberRecord("new", WALL, 1, 0, State.ALIVE, "new", PORT, zone="eu-1")
+    me = MemberRecord("new", WALL_CLOCK_START, 1, 0, State.ALIVE, "new", PORT, zone="eu-1")
     fresh = ClusterView(me, own, random.Random(seed), INFO)
     now = SECOND
     (ask,) = (effect for effect in fresh.start(now) if isinstance(effect, OpenStream))
