--- a/arrowseam/lab/scale.py
+++ b/arrowseam/lab/scale.py
@@ -222,7 +222,7 @@
 
     def on_view(self, host: SimulatedProcess) -> None:
         """Check, on a report of a process, that no member that is alive and reachable is held dead."""
-        if self.open and host.looked_at > self.open + HELD_DEAD * SECOND:
+        if self.open and host.reported_at > self.open + HELD_DEAD * SECOND:
             for name in host.held:
                 if name in self.running:  # once for each, whoever holds it so
                     self.report_violation(
@@ -236,7 +236,7 @@
         for host in self.hosts:
             if host.dead:
                 continue
-            if host.looked_at <= self.changed:
+            if host.reported_at <= self.changed:
                 return False
             by_zone.setdefault(host.zone, set()).update(host.groups)
         for zone, groups in by_zone.items():
@@ -258,7 +258,7 @@
         """Whether all hollow members of their zone hold these for ended or dead."""
         for zone in {self.zone_of[name] for name in names}:
             hosts = [h for h in self.hosts if h.zone == zone and not h.dead and h.groups]
-            if any(h.looked_at <= self.changed for h in hosts):
+            if any(h.reported_at <= self.changed for h in hosts):
                 return False
             count = sum(sum(h.groups.values()) for h in hosts)
             ours = [name for name in names if self.zone_of[name] == zone]
@@ -321,7 +321,7 @@
                 max((c for g, c in groups.items() if g.startswith(f"{zone}|")), default=0)
                 for zone in self.zones
             )
-            late = max((clock() - h.looked_at) / SECOND for h in self.hosts if not h.dead)
+            late = max((clock() - h.reported_at) / SECOND for h in self.hosts if not h.dead)
             self.told(
                 f"{self.now:5.0f} s  {self.phase.fault}: {most} of {sum(groups.values())} hollow members "
                 f"hold the commonest view of their zone; the oldest report is {late:.1f} s old"
--- a/arrowseam/lab/simulated_process.py
+++ b/arrowseam/lab/simulated_process.py
@@ -40,7 +40,7 @@
         self.loop, self.measurements, self.on_view = loop, measurements, on_view
         self.number, self.zone, self.names = number, zone, names
         self.ready = self.stopped = self.dead = False
-        self.looked_at = 0
+        self.reported_at = 0
         self.groups: dict[str, int] = {}
         self.held: dict[str, int] = {}
         self.leads: list[str] = []
@@ -66,7 +66,7 @@
         while (line := (yield from self.conn.read_line(LINE_MOST, clock() + 3600 * SECOND))) is not None:
             doc = json.loads(line)
             if "groups" in doc:
-                self.looked_at, self.groups, self.held = doc["t"], doc["groups"], doc["held"]
+                self.reported_at, self.groups, self.held = doc["t"], doc["groups"], doc["held"]
                 self.leads = doc["leads"]
                 self.measurements.shares[self.number].extend(doc["shares"])
                 self.on_view(self)
