--- a/arrowseam/lab/scale_faults.py
+++ b/arrowseam/lab/scale_faults.py
@@ -130,7 +130,7 @@
         self.started = half
 
     def _end_leader(self, phase: Phase) -> None:
-        leaders = [n for h in self.run.hosts if not h.dead for n in h.leads]
+        leaders = [n for h in self.run.hosts if not h.dead for n in h.leaders]
         phase.ended = leaders[:1]
         phase.about = f"the leader {' '.join(leaders[:1]) or '(none)'} ended"
         if not leaders:
--- a/arrowseam/lab/simulated_process.py
+++ b/arrowseam/lab/simulated_process.py
@@ -43,7 +43,7 @@
         self.reported_at = 0
         self.groups: dict[str, int] = {}
         self.held: dict[str, int] = {}
-        self.leads: list[str] = []
+        self.leaders: list[str] = []
         self.failed = ""
         self.cpu: list[tuple[int, int, int, int]] = []  # when, processor us, of it the reports', resident
         ours, theirs = socket.socketpair()
@@ -67,7 +67,7 @@
             doc = json.loads(line)
             if "groups" in doc:
                 self.reported_at, self.groups, self.held = doc["t"], doc["groups"], doc["held"]
-                self.leads = doc["leads"]
+                self.leaders = doc["leads"]
                 self.measurements.shares[self.number].extend(doc["shares"])
                 self.on_view(self)
             elif "costs" in doc:
