--- a/arrowseam/lab/scale.py
+++ b/arrowseam/lab/scale.py
@@ -223,7 +223,7 @@
     def on_view(self, host: SimulatedProcess) -> None:
         """Check, on a report of a process, that no member that is alive and reachable is held dead."""
         if self.open and host.reported_at > self.open + HELD_DEAD * SECOND:
-            for name in host.held:
+            for name in host.held_inactive:
                 if name in self.running:  # once for each, whoever holds it so
                     self.report_violation(
                         f"{name} runs and is held dead {HELD_DEAD:g} s after the last fault"
@@ -262,7 +262,7 @@
                 return False
             count = sum(sum(h.groups.values()) for h in hosts)
             ours = [name for name in names if self.zone_of[name] == zone]
-            if count and any(sum(h.held.get(name, 0) for h in hosts) < count for name in ours):
+            if count and any(sum(h.held_inactive.get(name, 0) for h in hosts) < count for name in ours):
                 return False
         return True
 
--- a/arrowseam/lab/simulated_process.py
+++ b/arrowseam/lab/simulated_process.py
@@ -42,7 +42,7 @@
         self.ready = self.stopped = self.dead = False
         self.reported_at = 0
         self.groups: dict[str, int] = {}
-        self.held: dict[str, int] = {}
+        self.held_inactive: dict[str, int] = {}
         self.leaders: list[str] = []
         self.failed = ""
         self.cpu: list[tuple[int, int, int, int]] = []  # when, processor us, of it the reports', resident
@@ -66,7 +66,7 @@
         while (line := (yield from self.conn.read_line(LINE_MOST, clock() + 3600 * SECOND))) is not None:
             doc = json.loads(line)
             if "groups" in doc:
-                self.reported_at, self.groups, self.held = doc["t"], doc["groups"], doc["held"]
+                self.reported_at, self.groups, self.held_inactive = doc["t"], doc["groups"], doc["held"]
                 self.leaders = doc["leads"]
                 self.measurements.shares[self.number].extend(doc["shares"])
                 self.on_view(self)
