--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -149,7 +149,7 @@
     def start(self, name: str) -> Process:
         """Start a process under a name, in place of the one that runs there."""
         process = self._begin(name)
-        self._do(process, process.view.start(self.now))
+        self._apply_effects(process, process.view.start(self.now))
         return process
 
     def start_established(self, names: list[str] | None = None) -> None:
@@ -169,7 +169,7 @@
             found = process.view.start_established(
                 self.now, others, like if like is not process.view else None
             )
-            self._do(process, found)
+            self._apply_effects(process, found)
 
     def kill(self, name: str) -> None:
         """End a process without a farewell."""
@@ -225,7 +225,7 @@
             process.waiting.append(lambda: self._act(process, act))
             return
         found = act()
-        self._do(process, found)
+        self._apply_effects(process, found)
 
     def _resume(self, process: Process) -> None:
         if process.alive and process.stalled_until <= self.now:
@@ -239,7 +239,7 @@
         due = process.view.due
         if process.alive and process.stalled_until <= self.now and due is not None:
             if due <= self.now:
-                self._do(process, process.view.on_timer(self.now))
+                self._apply_effects(process, process.view.on_timer(self.now))
             else:
                 self._arm(process, due)
 
@@ -255,7 +255,7 @@
             process.timer_at = None
             self._wake(process)
 
-    def _do(self, process: Process, effects: list[Effect]) -> None:
+    def _apply_effects(self, process: Process, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case SendDatagram(to, data):
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -460,7 +460,7 @@
     view = net.running["m0"].view
     assert view.declare_left(net.now, "m1") is None
     assert view.declare_left(net.now, "m7") is None
-    net._do(net.running["m0"], view.declare_left(net.now, "m3"))
+    net._apply_effects(net.running["m0"], view.declare_left(net.now, "m3"))
     net.run(net.now + 15 * SECOND)
     states = {p.view.records["m3"].state for p in net.running.values()}
     assert states == {State.LEFT}
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -225,7 +225,7 @@
     net = SimulatedCluster(sum(sizes), 1, zones={"a": sizes[0], "b": sizes[1]})
     net.start_established([name for name in net.names if name != "m11"])
     duplicate = net._begin("m11", msgspec.structs.replace(net.record("m11"), name="m0"))
-    net._do(duplicate, duplicate.view.start(net.now))
+    net._apply_effects(duplicate, duplicate.view.start(net.now))
     net.run(net.now + 20 * SECOND)
     assert any("also uses the name m0" in text for _, text in logged(net, "member.name_conflict"))
     ours, theirs = net.running["m0"].view, net.running["m11"].view
