--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -196,7 +196,7 @@
         """End a process on purpose: it tells the others, and ends a second later."""
         process = self.running.get(name)
         if process is not None:
-            self._act(process, lambda: process.view.leave(self.now))
+            self._deliver(process, lambda: process.view.leave(self.now))
             self.at(self.now + SECOND, lambda: self.kill(name) if self.running.get(name) is process else None)
 
     def stall(self, name: str, span: int) -> None:
@@ -213,16 +213,16 @@
         if process is not None:
             (process.cordoned.add if out else process.cordoned.discard)(server)
             wall = (WALL_CLOCK_START + self.now + self.skew.get(name, 0)) // MS
-            self._act(process, lambda: process.view.set_cordon(self.now, wall, server, out))
+            self._deliver(process, lambda: process.view.set_cordon(self.now, wall, server, out))
 
     # --- the network ---
 
-    def _act(self, process: Process, act: Callable[[], Any]) -> None:
+    def _deliver(self, process: Process, act: Callable[[], Any]) -> None:
         """Have a process take in an event, when it next runs."""
         if not process.alive:
             return
         if process.stalled_until > self.now:
-            process.waiting.append(lambda: self._act(process, act))
+            process.waiting.append(lambda: self._deliver(process, act))
             return
         found = act()
         self._apply_effects(process, found)
@@ -319,7 +319,7 @@
         process = self.running.get(to[0])
         if process is not None:
             self._charge(process.name, len(data))
-            self._act(process, lambda: process.view.on_datagram(self.now, data))
+            self._deliver(process, lambda: process.view.on_datagram(self.now, data))
 
     def _stream(self, process: Process, token: int, to: Address, data: bytes) -> None:
         """Segments that are lost are sent again: a stream is late where a datagram is lost."""
@@ -333,7 +333,7 @@
                 done[0] = True
                 self.bytes += len(answer)
                 self._charge(here, len(answer))
-                self._act(process, lambda: process.view.on_stream_closed(self.now, token, how, answer))
+                self._deliver(process, lambda: process.view.on_stream_closed(self.now, token, how, answer))
 
         def arrive() -> None:
             other = self.running.get(there)
@@ -352,7 +352,7 @@
                     self.at(self.now + self._late(), lambda: end(StreamOutcome.ANSWERED, reply[4:]))
                 return effects
 
-            self._act(other, answer)
+            self._deliver(other, answer)
 
         tries = 0
         while self.rnd.random() < self.loss and tries < 3:
--- a/benchmarks/fleet_sim.py
+++ b/benchmarks/fleet_sim.py
@@ -163,14 +163,14 @@
         self.took: list[float] = []
         super().__init__(*given, **fields)
 
-    def _act(self, process: Process, act: Any) -> None:
+    def _deliver(self, process: Process, act: Any) -> None:
         def timed() -> Any:
             began = time.perf_counter()
             found = act()
             self.took.append(time.perf_counter() - began)
             return found
 
-        super()._act(process, timed)
+        super()._deliver(process, timed)
 
 
 def holdup(chosen: list[int]) -> None:
