--- a/arrowseam/lab/simulated_cluster.py
+++ b/arrowseam/lab/simulated_cluster.py
@@ -127,7 +127,7 @@
 
     # --- processes ---
 
-    def _begin(self, name: str, record: MemberRecord | None = None) -> Process:
+    def _create_process(self, name: str, record: MemberRecord | None = None) -> Process:
         """A new process under this name, which has not been started."""
         self.kill(name)
         zone = self.zone_of.setdefault(name, next(iter(self.settings_of)))
@@ -148,7 +148,7 @@
 
     def start(self, name: str) -> Process:
         """Start a process under a name, in place of the one that runs there."""
-        process = self._begin(name)
+        process = self._create_process(name)
         self._apply_effects(process, process.view.start(self.now))
         return process
 
@@ -160,7 +160,7 @@
             by_zone.setdefault(self.zone_of[name], []).append(record)
         first: dict[str, ClusterView] = {}
         for name, record in records.items():
-            process = self._begin(name, record)
+            process = self._create_process(name, record)
             others = [r for r in by_zone[self.zone_of[name]] if r is not record]
             for zone, there in by_zone.items():
                 if zone != self.zone_of[name]:
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -224,7 +224,7 @@
 def test_a_name_used_in_two_zones_is_reported_and_harmless(sizes: tuple[int, int]) -> None:
     net = SimulatedCluster(sum(sizes), 1, zones={"a": sizes[0], "b": sizes[1]})
     net.start_established([name for name in net.names if name != "m11"])
-    duplicate = net._begin("m11", msgspec.structs.replace(net.record("m11"), name="m0"))
+    duplicate = net._create_process("m11", msgspec.structs.replace(net.record("m11"), name="m0"))
     net._apply_effects(duplicate, duplicate.view.start(net.now))
     net.run(net.now + 20 * SECOND)
     assert any("also uses the name m0" in text for _, text in logged(net, "member.name_conflict"))
