--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -453,7 +453,7 @@
     faulty_parts: ClassVar = {"evidence": _OwnPriceEvidence}
 
 
-class NumbersOfAnyProcess(PlantedView):
+class ProbeNumbersNotUnique(PlantedView):
     """A late answer to a former process counts for this one."""
 
     def __init__(self, *given: Any, **more: Any) -> None:
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -890,7 +890,7 @@
         (mutants.LateForeignDatagramIsProof, _late_foreign_datagram_ends_no_member),
         (mutants.HoldersOfAnyDigest, _holders_of_another_digest_are_ignored),
         (mutants.LateSummaryHolds, _late_summary_is_ignored),
-        (mutants.NumbersOfAnyProcess, _answer_to_previous_process_is_ignored),
+        (mutants.ProbeNumbersNotUnique, _answer_to_previous_process_is_ignored),
         (mutants.DifferencesNotPushed, _missing_records_are_pushed),
         (mutants.OneSpeaker, _heartbeat_continues_without_first_speaker),
         (mutants.NoPushes, _cordon_reaches_all_members_quickly),
