--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -247,7 +247,7 @@
             self.digest ^= activity_fingerprint(known)
 
 
-class DigestForgets(PlantedView):
+class DigestKeepsEndedMembers(PlantedView):
     """The digest keeps who has gone."""
 
     faulty_parts: ClassVar = {"members": _ForgetfulTable}
@@ -519,7 +519,7 @@
     CordonsNotSynchronised,
     CordonsOverwritten,
     NoStateSync,
-    DigestForgets,
+    DigestKeepsEndedMembers,
     RefusalOfFormerProcessCounts,
     TimeoutIsRefusal,
     SuspicionNeverEnds,
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -523,7 +523,7 @@
     (mutants.LaterProcessOfOurNameIgnored, draw(11)),
     (mutants.CordonsNotSynchronised, draw(3)),
     (mutants.NoStateSync, draw(3)),
-    (mutants.DigestForgets, draw(0)),
+    (mutants.DigestKeepsEndedMembers, draw(0)),
     (mutants.SuspicionNeverEnds, UNREFUSED_KILL),
 ]
 
