--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -434,7 +434,7 @@
         return self.context.settings.never_count_out
 
 
-class CountsOutBesideUnzoned(PlantedView):
+class CountsOutDespiteZoneMismatch(PlantedView):
     """Members are counted out though some are told of zones and some are not."""
 
     faulty_parts: ClassVar = {"evidence": _ConfiguredHoldOnly}
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -895,7 +895,7 @@
         (mutants.OneSpeaker, _heartbeat_continues_without_first_speaker),
         (mutants.NoPushes, _cordon_reaches_all_members_quickly),
         (mutants.SilentZoneGivesUpShare, _partitioned_zones_keep_their_parts),
-        (mutants.CountsOutBesideUnzoned, _no_member_is_counted_out_while_one_has_no_zone),
+        (mutants.CountsOutDespiteZoneMismatch, _no_member_is_counted_out_while_one_has_no_zone),
         (mutants.HoldPaysByOwnRule, _never_counting_out_is_safe_with_previous_version),
     ],
 )
