--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -447,7 +447,7 @@
         return rule(self.configured, self.members.known_count, 0, self.unconfirmed_count)
 
 
-class HoldPaysByOwnRule(PlantedView):
+class NeverCountOutIgnoresOtherRules(PlantedView):
     """Who counts nobody out pays for an unconfirmed member as if all others went by our rule."""
 
     faulty_parts: ClassVar = {"evidence": _OwnPriceEvidence}
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -896,7 +896,7 @@
         (mutants.NoPushes, _cordon_reaches_all_members_quickly),
         (mutants.SilentZoneGivesUpShare, _partitioned_zones_keep_their_parts),
         (mutants.CountsOutDespiteZoneMismatch, _no_member_is_counted_out_while_one_has_no_zone),
-        (mutants.HoldPaysByOwnRule, _never_counting_out_is_safe_with_previous_version),
+        (mutants.NeverCountOutIgnoresOtherRules, _never_counting_out_is_safe_with_previous_version),
     ],
 )
 def test_a_mutant_violates_a_property(
