--- a/arrowseam/lab/simulated_process.py
+++ b/arrowseam/lab/simulated_process.py
@@ -1,4 +1,4 @@
-"""One process of simulated members, seen from the process that runs a scale run."""
+"""The scale run's handle of one process of simulated members."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from arrowseam.lab.local_cluster import ROOT
 from arrowseam.lab.scale_measurements import Measurements
-from arrowseam.lab.simulated_members import LINE_MOST, pour
+from arrowseam.lab.simulated_members import LINE_BYTES_MAX, write_lines
 from arrowseam.net.clock import SECOND, clock
 from arrowseam.net.connection import Connection
 from arrowseam.net.event_loop import EventLoop
@@ -36,7 +36,7 @@
         zone: int,
         names: list[str],
     ) -> None:
-        """``on_view`` is called when it has reported the views of its members."""
+        """``on_view`` is called after each report of its members' views."""
         self.loop, self.measurements, self.on_view = loop, measurements, on_view
         self.number, self.zone, self.names = number, zone, names
         self.ready = self.stopped = self.dead = False
@@ -45,44 +45,51 @@
         self.held_inactive: dict[str, int] = {}
         self.leaders: list[str] = []
         self.failed = ""
-        self.cpu: list[tuple[int, int, int, int]] = []  # when, processor us, of it the reports', resident
-        ours, theirs = socket.socketpair()
-        with theirs, (folder / f"hollow{number}.log").open("ab") as log:
+        # When, processor us, of it for the reports, resident KiB.
+        self.cpu: list[tuple[int, int, int, int]] = []
+        own_end, child_end = socket.socketpair()
+        with child_end, (folder / f"hollow{number}.log").open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "arrowseam.lab.simulated_members", str(theirs.fileno())],
-                stdout=log, stderr=log, cwd=ROOT, pass_fds=[theirs.fileno()],
+                [sys.executable, "-m", "arrowseam.lab.simulated_members", str(child_end.fileno())],
+                stdout=log, stderr=log, cwd=ROOT, pass_fds=[child_end.fileno()],
                 env=os.environ | {"PYTHONPATH": str(ROOT)},
             )  # fmt: skip
-        self.conn = Connection(loop, ours, loop.start_task(self._receive(), f"hollow {number}"), LINE_MOST)
+        self.conn = Connection(
+            loop, own_end, loop.start_task(self._receive(), f"hollow {number}"), LINE_BYTES_MAX
+        )
         self.lines: deque[bytes] = deque()
-        self.writer: Task = loop.start_task(pour(self.conn, self.lines), f"to hollow {number}")
+        self.writer: Task = loop.start_task(write_lines(self.conn, self.lines), f"to hollow {number}")
 
-    def send(self, **doc: Any) -> None:
+    def send(self, **command: Any) -> None:
         """Send it a command."""
-        self.lines.append(json.dumps(doc).encode() + b"\n")
+        self.lines.append(json.dumps(command).encode() + b"\n")
         self.loop.wake(self.writer)
 
     def _receive(self) -> Coroutine[None]:
-        while (line := (yield from self.conn.read_line(LINE_MOST, clock() + 3600 * SECOND))) is not None:
-            doc = json.loads(line)
-            if "groups" in doc:
-                self.reported_at, self.groups, self.held_inactive = doc["t"], doc["groups"], doc["held"]
-                self.leaders = doc["leads"]
-                self.measurements.shares[self.number].extend(doc["shares"])
+        while (line := (yield from self.conn.read_line(LINE_BYTES_MAX, clock() + 3600 * SECOND))) is not None:
+            report = json.loads(line)
+            if "groups" in report:
+                self.reported_at, self.groups, self.held_inactive = (
+                    report["t"],
+                    report["groups"],
+                    report["held"],
+                )
+                self.leaders = report["leads"]
+                self.measurements.shares[self.number].extend(report["shares"])
                 self.on_view(self)
-            elif "costs" in doc:
-                self.cpu.append((doc["t"], doc["cpu"], doc["own"], doc["rss_kib"]))
-                for name, cost in doc["costs"].items():
-                    self.measurements.costs.setdefault(name, []).append((doc["t"], *cost))
-            elif "ready" in doc:
+            elif "costs" in report:
+                self.cpu.append((report["t"], report["cpu"], report["own"], report["rss_kib"]))
+                for name, cost in report["costs"].items():
+                    self.measurements.costs.setdefault(name, []).append((report["t"], *cost))
+            elif "ready" in report:
                 self.ready = True
-            elif "failed" in doc:
-                self.failed = doc["failed"]
+            elif "failed" in report:
+                self.failed = report["failed"]
         if not self.dead:
-            self.failed = self.failed or "ended by itself"
+            self.failed = self.failed or "exited unexpectedly"
 
     def close(self) -> None:
-        """End the process, also where it is stopped."""
+        """End the process, even if it is stopped."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGCONT)
         self.process.kill()
