--- a/arrowseam/lab/schedules.py
+++ b/arrowseam/lab/schedules.py
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One fault, or one order of an operator."""
+    """One fault, or one operation of an operator."""
 
     at: int  # microseconds
     what: str
     who: tuple[str, ...] = ()
-    span: int = 0  # how long it lasts, where it ends by itself
+    span: int = 0  # microseconds, for a fault that ends by itself
     number: float = 0.0
     server: str = ""
 
 
 @dataclass
 class Schedule:
-    """Steps for so many members, with the seed of all that a play draws."""
+    """Steps for a number of members, and the seed of all random numbers of a play."""
 
     seed: int
     members: int
@@ -39,7 +39,7 @@
 
     @staticmethod
     def read(text: str) -> Schedule:
-        """Return the schedule in this JSON; raises ValueError, KeyError or TypeError where it holds none."""
+        """Return the schedule in this JSON; raises ValueError, KeyError or TypeError if it holds none."""
         doc = json.loads(text)
         steps = [Step(**(step | {"who": tuple(step["who"])})) for step in doc["steps"]]
         return Schedule(doc["seed"], doc["members"], steps)
@@ -63,7 +63,7 @@
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], tries: int = 200) -> Schedule:
     """Reduce a failing schedule: drop halves, then smaller parts, then single steps, while it still fails.
 
-    At most some ``tries`` schedules are played (delta debugging; Zeller and Hildebrandt, 2002, without its
+    About ``tries`` schedules are played at most (delta debugging; Zeller and Hildebrandt, 2002, without the
     complements).
     """
     steps, size = schedule.steps, max(1, len(schedule.steps) // 2)
