--- a/arrowseam/lab/schedule_player.py
+++ b/arrowseam/lab/schedule_player.py
@@ -1,6 +1,6 @@
 """Plays schedules on the simulated cluster and judges them by the bounds that operators were promised.
 
-It judges by what the views say and do, and never asks a view why.
+It judges by what the views hold and do, not by how they came to it.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from arrowseam.membership.settings import MembershipSettings
 from arrowseam.membership.view import ClusterView
 
-SETTLE = 5 * SECOND  # after the last fault all views are equal by then, in 99 of 100 schedules
-SETTLE_MAX = 10 * SECOND  # and in every one by then
-HELD_DEAD = 3 * SECOND  # after the last fault within which no view may hold a running, reachable member dead
-COUNTED_OUT = 40 * SECOND  # after it within which the ended are counted out of the budgets
-CORDON_SPREAD = 2 * SECOND  # after which a cordon outlives the member that set it
+SETTLE = 5 * SECOND  # after the last fault; by then all views are equal in 99 of 100 schedules
+SETTLE_MAX = 10 * SECOND  # and by then in every schedule
+HELD_DEAD = 3 * SECOND  # after the last fault; from then on no view may hold a running, reachable member dead
+COUNTED_OUT = 40 * SECOND  # once views are equal, until ended members are counted out of budgets
+CORDON_SPREAD = 2 * SECOND  # a cordon that is older outlives the member that set it
 START_TIME = 3 * SECOND  # between the members' start and the schedule's
 RESTART_DELAY_MAX = 300 * MS
 LEAVE_TIME = 1500 * MS
@@ -30,7 +30,7 @@
     SimulatedFault.PARTITION, SimulatedFault.PARTITION_ONE_WAY, SimulatedFault.PARTITION_IN_THREE,
     SimulatedFault.LOSS, SimulatedFault.DUPLICATION,
 )  # fmt: skip
-# How long after a step its fault is over, where that is not its span.
+# How long a fault lasts, if that is not the span of its step.
 DURATIONS: dict[str, int] = {
     SimulatedFault.KILL: 0, SimulatedFault.KILL_SOME: 0, SimulatedFault.RESTART: RESTART_DELAY_MAX,
     SimulatedFault.CLOCK_SKEW: RESTART_DELAY_MAX, SimulatedFault.RESTART_ALL: SECOND,
@@ -42,17 +42,17 @@
 
 @dataclass
 class Verdict:
-    """How a play came out."""
+    """The result of a play."""
 
     broken: list[str]
     settled: int | None = None  # microseconds after the last fault
     share_sum_max: float = 0.0
     messages: int = 0
-    never_connected: bool = False  # two sides that never met, and none runs whose address both were given
+    never_connected: bool = False  # two sides can't find each other, since no seed of both runs
 
 
 class Player:
-    """Plays a schedule and judges it. ``dark`` are members whose machines are off for good."""
+    """Plays a schedule and judges it. ``off_for_good`` are members whose machines stay without power."""
 
     def __init__(
         self,
@@ -65,34 +65,34 @@
         self.net = SimulatedCluster(
             schedule.members, schedule.seed, settings, view=view, share_rule=share_rule
         )
-        self.broken: dict[str, None] = {}
-        self.cordons: dict[str, str] = {}  # server -> out, in, or open where nothing is owed
-        self.dark: set[str] = set()
-        self.cordoned_at: dict[str, tuple[int, str]] = {}  # server -> when it was set, and by whom
-        self.net.watch = self._watch
+        self.violations: dict[str, None] = {}
+        self.expected_cordons: dict[str, str] = {}  # server -> expected: out, in, or open if either
+        self.off_for_good: set[str] = set()
+        self.cordoned_at: dict[str, tuple[int, str]] = {}  # server -> its last change: when, at which member
+        self.net.watch = self._on_event
 
-    def _watch(self) -> None:
+    def _on_event(self) -> None:
         net = self.net
         if net.share_sum_max > 1.0 + 1e-9:
-            self._fault(f"shares sum to {net.share_sum_max:.2f}")
+            self._report_violation(f"shares sum to {net.share_sum_max:.2f}")
             net.share_sum_max = 0.0
-        for server, state in self.cordons.items():
+        for server, state in self.expected_cordons.items():
             if state == "out" and not any(server in p.cordoned for p in net.running.values()):
-                self.cordons[server] = "open"  # all who knew of it have ended
+                self.expected_cordons[server] = "open"  # all members that knew of it have ended
 
-    def _fault(self, text: str) -> None:
-        self.broken.setdefault(text)
+    def _report_violation(self, text: str) -> None:
+        self.violations.setdefault(text)
 
-    def _step(self, step: Step) -> None:
-        """Begin one fault, and have it end when its span is over."""
+    def _play_step(self, step: Step) -> None:
+        """Begin one fault, and schedule its end."""
         if step.what in (SimulatedFault.CORDON, SimulatedFault.UNCORDON):
-            self._cordon_step(step)
+            self._play_cordon_step(step)
         elif step.what in NETWORK_FAULTS:
-            self._network_step(step)
+            self._play_network_step(step)
         else:
-            self._process_step(step)
+            self._play_process_step(step)
 
-    def _process_step(self, step: Step) -> None:
+    def _play_process_step(self, step: Step) -> None:
         net, first = self.net, step.who[0] if step.who else ""
         match step.what:
             case SimulatedFault.KILL:
@@ -103,7 +103,7 @@
                 net.at(net.now + min(step.span, RESTART_DELAY_MAX), lambda: self._start(first))
             case SimulatedFault.LEAVE:
                 net.leave(first)
-                net.at(net.now + LEAVE_TIME, lambda: self._open_cordons(first))
+                net.at(net.now + LEAVE_TIME, lambda: self._exempt_recent_cordons(first))
             case SimulatedFault.POWER_OFF | SimulatedFault.POWER_OFF_FOR_GOOD:
                 self._power_off(step, first)
             case SimulatedFault.START if first not in net.running:
@@ -124,17 +124,20 @@
             net.at(net.now + n * SECOND // len(net.names), partial(self._start, name))
 
     def _power_off(self, step: Step, name: str) -> None:
-        """Switch a machine off: nothing there refuses anything."""
+        """Switch a machine off: it refuses no connections any more."""
         net = self.net
         net.powered_off.add(name)
         if step.what == SimulatedFault.POWER_OFF_FOR_GOOD:
-            self.dark.add(name)
+            self.off_for_good.add(name)
             self._kill(name)
             return
         self._kill(name)
-        net.at(net.now + step.span, lambda: net.powered_off.discard(name) if name not in self.dark else None)
+        net.at(
+            net.now + step.span,
+            lambda: net.powered_off.discard(name) if name not in self.off_for_good else None,
+        )
 
-    def _network_step(self, step: Step) -> None:
+    def _play_network_step(self, step: Step) -> None:
         net, ends = self.net, self.net.now + step.span
         if step.what == SimulatedFault.LOSS:
             net.loss = step.number
@@ -144,52 +147,55 @@
             net.doubled = step.number
             net.at(ends, lambda: setattr(net, "doubled", 0.0))
             return
-        some, rest = list(step.who), [n for n in net.names if n not in step.who]
+        group, rest = list(step.who), [n for n in net.names if n not in step.who]
         if step.what == SimulatedFault.PARTITION_IN_THREE:
-            links = net.partition(some, rest[::2], rest[1::2])
+            links = net.partition(group, rest[::2], rest[1::2])
         else:
-            links = net.partition(some, rest, one_way=step.what == SimulatedFault.PARTITION_ONE_WAY)
+            links = net.partition(group, rest, one_way=step.what == SimulatedFault.PARTITION_ONE_WAY)
         net.at(ends, lambda: net.heal(links))
 
-    def _cordon_step(self, step: Step) -> None:
-        """Cordon or uncordon at one member, unless it does not run or is stalled."""
+    def _play_cordon_step(self, step: Step) -> None:
+        """Cordon or uncordon at one member, unless it is not running or stalled."""
         net, name = self.net, step.who[0] if step.who else ""
         if name not in net.running or net.running[name].stalled_until > net.now:
             return
         if step.what == SimulatedFault.CORDON:
             if step.server not in self.cordoned_at:
                 self.cordoned_at[step.server] = net.now, name
-                self.cordons[step.server] = "out"
+                self.expected_cordons[step.server] = "out"
                 net.cordon(name, step.server, True)
-        elif step.server in net.running[name].cordoned and self.cordons[step.server] == "out":
-            self.cordons[step.server] = "in"
+        elif step.server in net.running[name].cordoned and self.expected_cordons[step.server] == "out":
+            self.expected_cordons[step.server] = "in"
             self.cordoned_at[step.server] = net.now, name
             net.cordon(name, step.server, False)
 
-    def _can_meet(self) -> bool:
-        """Whether words can get from each running process to each: along names it knows and those it was told
-        at the start. Else nobody could know of the other side, whatever the protocol."""
-        running, seeds = self.net.running, {name for name, _ in self.net.settings.seeds}
+    def _can_connect(self) -> bool:
+        """Whether all running processes can find each other, by the names that they know and by their seeds.
+        If not, no protocol could tell one side of the other."""
+        running, seeds = self.net.running, {host for host, _ in self.net.settings.seeds}
         reached, todo = set(list(running)[:1]), list(running)[:1]
         while todo:
-            one = todo.pop()
-            ways = {n for n in running if n in running[one].view.records or n in seeds}
-            ways |= {n for n in running if one in running[n].view.records or one in seeds}
-            todo += ways - reached
-            reached |= ways
+            name = todo.pop()
+            neighbours = {n for n in running if n in running[name].view.records or n in seeds}
+            neighbours |= {n for n in running if name in running[n].view.records or name in seeds}
+            todo += neighbours - reached
+            reached |= neighbours
         return reached == set(running)
 
-    def _counted(self) -> bool:
-        """Whether all that have ended are counted out."""
-        return all(p.proxy_count.value <= self._number(p) for p in self._running())
+    def _ended_are_counted_out(self) -> bool:
+        """Whether all members that have ended are counted out."""
+        return all(p.proxy_count.value <= self._expected_proxy_count(p) for p in self._running())
 
-    def _number(self, process: Process) -> int:
-        """What it should be told in the end. A name that ended before all others of today began is known to
-        nobody: it may still be there, unseen, and have counted out whoever started since."""
-        whole, ended = self.net.configured, process.view.records.keys() - self.net.running.keys() - self.dark
-        # Who is dark may not have answered this life, and answers nobody's any more.
-        strange = max(0, whole - process.view.members.known_count) + len(self.dark)
-        return proxy_count(whole, whole, len(ended), strange)
+    def _expected_proxy_count(self, process: Process) -> int:
+        """Return the proxy count that a process must reach. A member that ended before all running ones began
+        is known to none of them: it may still run unseen, and may have counted out those that began since."""
+        size, ended = (
+            self.net.configured,
+            process.view.records.keys() - self.net.running.keys() - self.off_for_good,
+        )
+        # A member that is off for good may not have answered this process, and answers none any more.
+        unconfirmed = max(0, size - process.view.members.known_count) + len(self.off_for_good)
+        return proxy_count(size, size, len(ended), unconfirmed)
 
     def _running(self) -> list[Process]:
         return list(self.net.running.values())
@@ -200,13 +206,13 @@
 
     def _kill(self, name: str) -> None:
         self.net.kill(name)
-        self._open_cordons(name)
+        self._exempt_recent_cordons(name)
 
-    def _open_cordons(self, name: str) -> None:
-        """A cordon that a member set just before its end may be known to no other."""
-        for server, (when, by) in self.cordoned_at.items():
-            if by == name and self.net.now - when < CORDON_SPREAD:
-                self.cordons[server] = "open"
+    def _exempt_recent_cordons(self, name: str) -> None:
+        """Expect nothing of a cordon that a member set just before its end: no other may know it."""
+        for server, (changed_at, by) in self.cordoned_at.items():
+            if by == name and self.net.now - changed_at < CORDON_SPREAD:
+                self.expected_cordons[server] = "open"
 
     def play(self) -> Verdict:
         """Play the whole schedule and judge it."""
@@ -216,55 +222,57 @@
         self._run_steps()
         end = net.now
         settled = net.until(net.agreed, 3 * SETTLE)
-        if settled is None and not self._can_meet():
-            return Verdict(list(self.broken), None, net.share_sum_max, net.sent, never_connected=True)
+        if settled is None and not self._can_connect():
+            return Verdict(list(self.violations), None, net.share_sum_max, net.sent, never_connected=True)
         if settled is None or settled > SETTLE_MAX:
-            self._fault(f"views differ {SETTLE_MAX // SECOND} s after the last fault")
+            self._report_violation(f"views differ {SETTLE_MAX // SECOND} s after the last fault")
         if (settled or 3 * SETTLE) > HELD_DEAD:
             running = set(net.running)
             for process in net.running.values():
                 if held := running - net.active_names(process):
-                    self._fault(f"{process.name} holds {sorted(held)} for dead")
+                    self._report_violation(f"{process.name} holds running members {sorted(held)} dead")
         net.run(max(net.now, end + SETTLE))
-        net.until(self._counted, COUNTED_OUT)
+        net.until(self._ended_are_counted_out, COUNTED_OUT)
         if not net.agreed():
-            self._fault("views that were equal differ again")
+            self._report_violation("views that were equal differ again")
         self._judge_cordons()
         self._judge_processes(f", with {net.configured - len(net.running)} ended")
-        return Verdict(list(self.broken), settled, net.share_sum_max, net.sent)
+        return Verdict(list(self.violations), settled, net.share_sum_max, net.sent)
 
     def _run_steps(self) -> None:
-        """Run until the last fault is over: then nothing is stalled, cut or lost any more."""
+        """Run until the last fault is over; then nothing is stalled, cut off or lost any more."""
         net, steps = self.net, self.schedule.steps
         net.run(START_TIME)
         for step in steps:
-            net.at(net.now + step.at, partial(self._step, step))
+            net.at(net.now + step.at, partial(self._play_step, step))
         net.run(net.now + max((s.at + DURATIONS.get(s.what, s.span) for s in steps), default=0) + 1)
         net.heal()
         net.loss = net.doubled = 0.0
-        net.powered_off &= self.dark
+        net.powered_off &= self.off_for_good
 
     def _judge_cordons(self) -> None:
-        for server, state in self.cordons.items():
+        for server, state in self.expected_cordons.items():
             for process in self._running():
                 if state != "open" and (server in process.cordoned) != (state == "out"):
-                    self._fault(
-                        f"cordon of {server}: {process.name} has it {'in' if state == 'out' else 'out'}"
+                    self._report_violation(
+                        f"cordon of {server}: {process.name} holds it {'in' if state == 'out' else 'out'}"
                     )
 
-    def _judge_processes(self, ended: str = "") -> None:
-        """Check that the ended are counted out, and that each digest fits its view."""
+    def _judge_processes(self, suffix: str = "") -> None:
+        """Check that ended members are counted out, and that each digest matches its view."""
         for process in self._running():
-            if process.proxy_count.value > self._number(process):
-                self._fault(f"{process.name} is still told {process.proxy_count.value}{ended}")
-            if _digest(process.view) != process.view.digest:
-                self._fault(f"{process.name}: the digest is not that of what it holds")
+            if process.proxy_count.value > self._expected_proxy_count(process):
+                self._report_violation(
+                    f"{process.name} still divides budgets by {process.proxy_count.value}{suffix}"
+                )
+            if _compute_digest(process.view) != process.view.digest:
+                self._report_violation(f"{process.name}: the digest does not match its records and cordons")
 
 
-def _digest(view: ClusterView) -> int:
-    found = activity_fingerprint(view.me)
+def _compute_digest(view: ClusterView) -> int:
+    digest = activity_fingerprint(view.me)
     for record in view.records.values():
-        found ^= activity_fingerprint(record)
+        digest ^= activity_fingerprint(record)
     for cordon in view.cordons.by_endpoint.values():
-        found ^= cordon_fingerprint(cordon)
-    return found
+        digest ^= cordon_fingerprint(cordon)
+    return digest
