--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -1,6 +1,6 @@
-"""Faults planted in the membership code one by one, to prove that the referee of the schedules catches them.
+"""Mutants of the membership protocol, which prove that the checks of the schedules detect its faults.
 
-Each is the protocol with one rule left out or done wrong: a part of the view gets a class that differs in
+Each leaves out one rule of the protocol or breaks it: a component of the view gets a class that differs in
 that rule. It must never be imported by a proxy.
 """
 
@@ -40,14 +40,14 @@
 
 
 class PlantedView(ClusterView):
-    """A view of which some parts have another class than a proxy's."""
+    """A view with faulty classes for some of its components."""
 
     faulty_parts: ClassVar[dict[str, type]] = {}
 
-    def __init__(self, *given: Any, **more: Any) -> None:
-        super().__init__(*given, **more)
-        for part, faulty in self.faulty_parts.items():
-            attrgetter(part)(self).__class__ = faulty
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        for name, faulty in self.faulty_parts.items():
+            attrgetter(name)(self).__class__ = faulty
 
 
 class _UnrefutedUpdates(MemberUpdates):
@@ -58,7 +58,7 @@
 
 
 class NoRefutation(PlantedView):
-    """What is said of us is let stand."""
+    """A member does not refute what others claim about it."""
 
     faulty_parts: ClassVar = {"updates": _UnrefutedUpdates}
 
@@ -72,7 +72,7 @@
 
 
 class IncarnationNotRaised(PlantedView):
-    """Refuted with the incarnation that was named."""
+    """A refutation has the same incarnation as the claim."""
 
     faulty_parts: ClassVar = {"updates": _SameIncarnationUpdates}
 
@@ -83,7 +83,7 @@
 
 
 class DeadNeverRetried(PlantedView):
-    """Whoever is dead stays dead unless it speaks first."""
+    """A dead member is not contacted again unless it contacts us first."""
 
     faulty_parts: ClassVar = {"reconnection": _NoReconnection}
 
@@ -95,7 +95,7 @@
 
 
 class SilentCountedOut(PlantedView):
-    """A member that is silent takes no share any more."""
+    """A silent member is counted out."""
 
     faulty_parts: ClassVar = {"evidence": _SilenceEvidence}
 
@@ -110,7 +110,7 @@
 
 
 class AlwaysComplete(PlantedView):
-    """Who has just started takes a whole share at once."""
+    """A process that has just started takes a whole share at once."""
 
     faulty_parts: ClassVar = {"evidence": _AssumedEvidence}
 
@@ -122,7 +122,7 @@
 
 
 class OnlyKnownAreUnconfirmed(PlantedView):
-    """Only those we happen to know may have counted us out, however few."""
+    """Only members that we know, however few, are held to have possibly counted us out."""
 
     faulty_parts: ClassVar = {"evidence": _KnownOnlyEvidence}
 
@@ -136,7 +136,7 @@
 
 
 class EndedCountAsConfirmed(PlantedView):
-    """Whoever is said to have ended cannot have counted us out."""
+    """A member that is reported to have ended is held not to have counted us out."""
 
     faulty_parts: ClassVar = {"evidence": _EndedConfirmedEvidence}
 
@@ -147,7 +147,7 @@
 
 
 class HearsayIsEvidence(PlantedView):
-    """Whoever is said to have ended is counted out, without evidence of our own."""
+    """A member that is reported to have ended is counted out, without first-hand evidence."""
 
     faulty_parts: ClassVar = {"evidence": _HearsayEvidence}
 
@@ -158,7 +158,7 @@
 
 
 class AckOfFormerProcessCounts(PlantedView):
-    """An answer to a former process counts for this one."""
+    """An answer to an earlier process of ours counts for this one."""
 
     faulty_parts: ClassVar = {"evidence": _KeptEvidence}
 
@@ -171,7 +171,7 @@
 
 
 class LaterProcessOfOurNameIgnored(PlantedView):
-    """A later process of our own name is not outdone."""
+    """An update about a later process of our own name is ignored."""
 
     faulty_parts: ClassVar = {"updates": _LaterProcessIgnored}
 
@@ -191,7 +191,7 @@
 
 
 class OrderedByIncarnationAlone(PlantedView):
-    """Updates are ordered by incarnation alone, whatever process they are of."""
+    """Updates are ordered by incarnation alone, whatever their process."""
 
     faulty_parts: ClassVar = {"updates": _IncarnationOnlyUpdates}
 
@@ -202,12 +202,12 @@
 
 
 class CordonsNotSynchronised(PlantedView):
-    """State synchronisations bring no cordons."""
+    """Cordons in a state synchronisation are ignored."""
 
     faulty_parts: ClassVar = {"state_sync": _CordonlessSync}
 
 
-class _LastCordonHolds(CordonReplication):
+class _LastCordonReplication(CordonReplication):
     def on_cordons(self, updates: Iterable[Cordon]) -> None:
         for update in updates:
             known = self.cordons.by_endpoint.pop(update.endpoint, None)
@@ -220,9 +220,9 @@
 
 
 class CordonsOverwritten(PlantedView):
-    """The update that comes last holds, whatever its timestamp."""
+    """The update received last wins, whatever its timestamp."""
 
-    faulty_parts: ClassVar = {"cordon_replication": _LastCordonHolds}
+    faulty_parts: ClassVar = {"cordon_replication": _LastCordonReplication}
 
 
 class _NoSync(StateSynchronizer):
@@ -234,12 +234,12 @@
 
 
 class NoStateSync(PlantedView):
-    """Views that differ are left to differ."""
+    """Views that differ are not synchronised."""
 
     faulty_parts: ClassVar = {"state_sync": _NoSync}
 
 
-class _ForgetfulTable(MemberTable):
+class _StaleDigestTable(MemberTable):
     def store(self, record: MemberRecord) -> None:
         known = self.records.get(record.name)
         super().store(record)
@@ -248,9 +248,9 @@
 
 
 class DigestKeepsEndedMembers(PlantedView):
-    """The digest keeps who has gone."""
+    """The digest still includes members that have ended."""
 
-    faulty_parts: ClassVar = {"members": _ForgetfulTable}
+    faulty_parts: ClassVar = {"members": _StaleDigestTable}
 
 
 class _RefusalOfAnyProcess(StreamTable):
@@ -262,21 +262,21 @@
 
 
 class RefusalOfFormerProcessCounts(PlantedView):
-    """A refusal counts for whichever process has the name now."""
+    """A refusal counts for the process that has the name now."""
 
     faulty_parts: ClassVar = {"streams": _RefusalOfAnyProcess}
 
 
-class _SilenceIsRefusal(StreamTable):
+class _TimeoutIsRefusal(StreamTable):
     def on_closed(self, token: int, outcome: StreamOutcome, data: bytes) -> None:
         timed_out = outcome == StreamOutcome.TIMED_OUT
         super().on_closed(token, StreamOutcome.REFUSED if timed_out else outcome, data)
 
 
 class TimeoutIsRefusal(PlantedView):
-    """A stream that brings nothing is taken for a refusal."""
+    """A stream that times out is taken for a refusal."""
 
-    faulty_parts: ClassVar = {"streams": _SilenceIsRefusal}
+    faulty_parts: ClassVar = {"streams": _TimeoutIsRefusal}
 
 
 class _EndlessSuspicions(SuspicionTracker):
@@ -285,12 +285,12 @@
 
 
 class SuspicionNeverEnds(PlantedView):
-    """Who is suspected is never declared dead."""
+    """A suspected member is never declared dead."""
 
     faulty_parts: ClassVar = {"suspicions": _EndlessSuspicions}
 
 
-class _UnsharedUpdates(MemberUpdates):
+class _UngossipedUpdates(MemberUpdates):
     def apply(self, record: MemberRecord, gossip: bool = True) -> None:
         super().apply(record, gossip)
         if record.state in (State.SUSPECT, State.DEAD, State.GONE):
@@ -298,13 +298,13 @@
 
 
 class DeathsNotGossiped(PlantedView):
-    """A new suspicion is not passed on, and neither is a death."""
+    """Suspicions and deaths are not gossiped."""
 
-    faulty_parts: ClassVar = {"updates": _UnsharedUpdates}
+    faulty_parts: ClassVar = {"updates": _UngossipedUpdates}
 
 
 def no_reserve(configured: int, known: int, counted_out: int, unconfirmed: int) -> int:
-    """The share of those who have ended is given to the others to the last bit."""
+    """The whole share of members that have ended is given to the others."""
     size = max(1, configured, known)
     if unconfirmed:
         return proxy_count(configured, known, counted_out, unconfirmed)
@@ -312,15 +312,15 @@
 
 
 def rounded_down(configured: int, known: int, counted_out: int, unconfirmed: int) -> int:
-    """Shares rounded up."""
+    """The count is rounded down, and so the shares up."""
     size = max(1, configured, known)
     if unconfirmed:
         return proxy_count(configured, known, counted_out, unconfirmed)
     return max(1, math.floor((size - counted_out) / (1.0 - counted_out / (4 * size))))
 
 
-def unconfirmed_for_free(configured: int, known: int, counted_out: int, unconfirmed: int) -> int:
-    """Who may have been counted out takes a whole share unless nobody has answered."""
+def unconfirmed_not_deducted(configured: int, known: int, counted_out: int, unconfirmed: int) -> int:
+    """A member that may have been counted out takes a whole share unless nobody has answered it."""
     size = max(1, configured, known)
     return proxy_count(configured, known, counted_out, unconfirmed if unconfirmed >= size - 1 else 0)
 
@@ -335,7 +335,7 @@
 
 
 class ZoneTakesWholeBudget(PlantedView):
-    """Each zone takes the whole."""
+    """Each zone takes the whole budget."""
 
     faulty_parts: ClassVar = {"evidence": _WholeBudgetEvidence}
 
@@ -347,23 +347,23 @@
 
 
 class ForeignMembersAccepted(PlantedView):
-    """Members of other zones are members of ours."""
+    """Members of other zones are accepted into ours."""
 
     faulty_parts: ClassVar = {"members": _ZonelessTable}
 
 
 class HoldersOfAnyDigest(PlantedView):
-    """Who holds the digest of whoever speaks is taken for holding ours."""
+    """Members that hold the digest of a message's sender are taken to hold ours."""
 
     def on_message(self, message: Datagram) -> Datagram | None:
-        """Take in a message."""
+        """Handle a message."""
         reply = super().on_message(message)
         if message.holders and not self.members.is_foreign(message.sender):
             self.evidence.on_equal_digest(message.sender, message.holders)
         return reply
 
 
-class _LastSummaryHolds(ZoneTable):
+class _LastSummaryTable(ZoneTable):
     def merge_summary(self, summary: ZoneSummary) -> bool:
         zone = self.by_name.get(summary.zone)
         if zone is None or zone.summary == summary:
@@ -373,12 +373,12 @@
 
 
 class LateSummaryHolds(PlantedView):
-    """The summary that comes last holds, whatever its heartbeat."""
+    """The summary received last wins, whatever its heartbeat."""
 
-    faulty_parts: ClassVar = {"zones": _LastSummaryHolds}
+    faulty_parts: ClassVar = {"zones": _LastSummaryTable}
 
 
-class _AnyHeartbeatHolds(ZoneTable):
+class _AnyHeartbeatTable(ZoneTable):
     def merge_heartbeats(self, now: int, encoded: bytes, ages: bytes = b"") -> bool:
         before = {zone.name: zone.heartbeat for zone in self.by_name.values()}
         for zone in self.by_name.values():
@@ -390,20 +390,20 @@
 
 
 class LateHeartbeatHolds(PlantedView):
-    """A heartbeat that is no later than the one known is taken for news."""
+    """A heartbeat that is not newer than the known one is taken for a new one."""
 
-    faulty_parts: ClassVar = {"zones": _AnyHeartbeatHolds}
+    faulty_parts: ClassVar = {"zones": _AnyHeartbeatTable}
 
 
-class _MuteBridges(ZoneBridges):
+class _NoBridges(ZoneBridges):
     def send_to(self, zone: Zone) -> None:
         pass
 
 
 class NoBridges(PlantedView):
-    """Nothing is told to another zone unless it asks."""
+    """Nothing is sent to another zone unless it asks."""
 
-    faulty_parts: ClassVar = {"bridges": _MuteBridges}
+    faulty_parts: ClassVar = {"bridges": _NoBridges}
 
 
 class _NoPush(Dissemination):
@@ -428,19 +428,19 @@
     faulty_parts: ClassVar = {"zones": _OneSpeaker}
 
 
-class _ConfiguredHoldOnly(EvidenceTracker):
+class _ConfigurationOnlyEvidence(EvidenceTracker):
     @property
     def never_counts_out(self) -> bool:
         return self.context.settings.never_count_out
 
 
 class CountsOutDespiteZoneMismatch(PlantedView):
-    """Members are counted out though some are told of zones and some are not."""
+    """Members are counted out although only some of them have zones."""
 
-    faulty_parts: ClassVar = {"evidence": _ConfiguredHoldOnly}
+    faulty_parts: ClassVar = {"evidence": _ConfigurationOnlyEvidence}
 
 
-class _OwnPriceEvidence(EvidenceTracker):
+class _OwnRuleEvidence(EvidenceTracker):
     def proxy_count(self, rule: Callable[..., int] = proxy_count) -> int:
         if not self.never_counts_out or self.context.settings.zone in self.view.zones.by_name:
             return super().proxy_count(rule)
@@ -448,32 +448,32 @@
 
 
 class NeverCountOutIgnoresOtherRules(PlantedView):
-    """Who counts nobody out pays for an unconfirmed member as if all others went by our rule."""
+    """A proxy that counts nobody out accounts for unconfirmed members as if others followed its rule."""
 
-    faulty_parts: ClassVar = {"evidence": _OwnPriceEvidence}
+    faulty_parts: ClassVar = {"evidence": _OwnRuleEvidence}
 
 
 class ProbeNumbersNotUnique(PlantedView):
-    """A late answer to a former process counts for this one."""
+    """A late answer to an earlier process of ours counts for this one."""
 
-    def __init__(self, *given: Any, **more: Any) -> None:
-        super().__init__(*given, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self.context.last_number = self.context.first_number = 0
 
 
-class _NoPushBack(StateSynchronizer):
+class _NoPushSync(StateSynchronizer):
     def send(self, address: Address, state: StateSync) -> None:
         if state.part != SyncPart.PUSH:
             super().send(address, state)
 
 
 class DifferencesNotPushed(PlantedView):
-    """What the other side of a state synchronisation lacks is not sent to it."""
+    """A state synchronisation does not send the other side what it lacks."""
 
-    faulty_parts: ClassVar = {"state_sync": _NoPushBack}
+    faulty_parts: ClassVar = {"state_sync": _NoPushSync}
 
 
-class _SilentZoneFreed(EvidenceTracker):
+class _SilentZoneEvidence(EvidenceTracker):
     def proxy_count(self, rule: Callable[..., int] = proxy_count) -> int:
         zones = self.view.zones
         silent = sum(zone.size for zone in zones.others if zone.silent)
@@ -483,12 +483,12 @@
 
 
 class SilentZoneGivesUpShare(PlantedView):
-    """The part of a zone that is silent is shared out among the others."""
+    """The share of a silent zone is divided among the others."""
 
-    faulty_parts: ClassVar = {"evidence": _SilentZoneFreed}
+    faulty_parts: ClassVar = {"evidence": _SilentZoneEvidence}
 
 
-class _ForeignWordIsProof(ZoneBridges):
+class _ForeignMessageIsProof(ZoneBridges):
     def on_foreign_sender(self, record: MemberRecord) -> None:
         known = self.members.records.get(record.name)
         started = record.started_at, record.nonce
@@ -499,9 +499,9 @@
 
 
 class LateForeignDatagramIsProof(PlantedView):
-    """A later process of a member's name in another zone ends it, however late that message is."""
+    """A message of a later process of a member's name in another zone ends the member, however late."""
 
-    faulty_parts: ClassVar = {"bridges": _ForeignWordIsProof}
+    faulty_parts: ClassVar = {"bridges": _ForeignMessageIsProof}
 
 
 VIEWS: tuple[type[ClusterView], ...] = (
@@ -528,5 +528,5 @@
 SHARE_RULES: tuple[Callable[[int, int, int, int], int], ...] = (
     no_reserve,
     rounded_down,
-    unconfirmed_for_free,
+    unconfirmed_not_deducted,
 )
