--- a/arrowseam/lab/planted_agree.py
+++ b/arrowseam/lab/rollout_mutants.py
@@ -1,6 +1,6 @@
-"""Faults planted in the agreement's code one by one, to prove that its referee bites.
+"""Mutants of consensus and rollouts, each with one planted fault, to prove that the checks catch it.
 
-Each is the code with one thing left out or done wrong. It must never be imported by a proxy.
+Each is the code with one rule left out or done wrong. It must never be imported by a proxy.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from arrowseam.rollouts.replicated_state import ReplicatedState
 from arrowseam.rollouts.state import Permit, Release
 
-# --- the log ------------------------------------------------------------------------------------------------
+# --- consensus ----------------------------------------------------------------------------------------------
 
 
-class OldTermCounted(Node):
-    """An entry of an older term is committed by counting who has it."""
+class CommitsOldTermsByCount(Node):
+    """Commits entries of an older term by counting the voters that have them."""
 
     def _advance_commit_index(self) -> None:
         for index in range(self.log.last_index, self.commit_index, -1):
@@ -48,29 +48,29 @@
                 break
 
 
-class CountsItselfEarly(Node):
-    """A leader counts itself for entries that it has not stored."""
+class CountsUnstoredEntries(Node):
+    """A leader counts itself for entries that it has not stored yet."""
 
     def _advance_commit_index(self) -> None:
         self.durable_index = self.log.last_index
         super()._advance_commit_index()
 
 
-class AnswersEarly(Node):
-    """Votes and acknowledgements go out before what they rest on is stored."""
+class RepliesBeforeStoring(Node):
+    """Sends votes and acknowledgements before the records that they depend on are stored."""
 
-    def _send_when_stored(self, to: str, what: RaftMessage) -> None:
-        self._send(to, what)
+    def _send_when_stored(self, to: str, message: RaftMessage) -> None:
+        self._send(to, message)
 
 
-class ForgottenVotes(Node):
-    """Who has lost its state is taken for who it was."""
+class VotesAfterStateLoss(Node):
+    """A voter that has lost its state keeps its identity and goes on voting."""
 
-    def __init__(self, me: Voter, *rest: Any) -> None:
-        super().__init__(Voter(me.name, 1), *rest)
+    def __init__(self, identity: Voter, *rest: Any) -> None:
+        super().__init__(Voter(identity.name, 1), *rest)
 
     def _on_request_vote(self, message: RequestVote) -> None:
-        if self.role is Role.NON_VOTER:  # it believes to be a voter still
+        if self.role is Role.NON_VOTER:  # it still takes itself for a voter
             granted = not message.pre_vote and self.voted_for in (None, message.sender)
             granted = granted or message.pre_vote
             if granted and not message.pre_vote:
@@ -85,7 +85,7 @@
 
 
 class VotesTwice(Node):
-    """A vote given in a term does not keep from giving another."""
+    """Grants more than one vote in a term."""
 
     def _on_request_vote(self, message: RequestVote) -> None:
         if not message.pre_vote and message.term == self.term:
@@ -93,30 +93,30 @@
         super()._on_request_vote(message)
 
 
-class StaleVotes(Node):
-    """A vote is given to whoever asks, however little it has."""
+class VotesForStaleLogs(Node):
+    """Grants its vote to candidates whose log is behind its own."""
 
     def _on_request_vote(self, message: RequestVote) -> None:
         super()._on_request_vote(msgspec.structs.replace(message, last_index=1 << 40, last_term=1 << 40))
 
 
-class ManyChangesAtOnce(Node):
-    """Voters are changed before the last change is committed."""
+class OverlappingVoterChanges(Node):
+    """Changes the voters again before the previous change is committed."""
 
     @property
     def is_configuration_committed(self) -> bool:
         return True
 
 
-class KeepsWhatDiffers(Node):
-    """A follower keeps its own entries where the leader's differ."""
+class KeepsConflictingEntries(Node):
+    """A follower keeps its own entries where they conflict with the leader's."""
 
     def _on_append_entries(self, message: AppendEntries) -> None:
         if message.epoch == self.epoch and message.prev_index < self.log.last_index:
-            fresh = message.entries[max(0, self.log.last_index - message.prev_index) :]
+            new_entries = message.entries[max(0, self.log.last_index - message.prev_index) :]
             if self._accept_leader(message):
-                if fresh:
-                    self._replace_entries(self.log.last_index + 1, fresh)
+                if new_entries:
+                    self._replace_entries(self.log.last_index + 1, new_entries)
                 match = message.prev_index + len(message.entries)
                 self._commit_up_to(min(message.commit_index, match, self.log.last_index))
                 self._send_when_stored(
@@ -126,15 +126,15 @@
         super()._on_append_entries(message)
 
 
-class MinorityCommits(Node):
-    """Half of the voters are enough."""
+class HalfIsQuorum(Node):
+    """Takes half of the voters for a quorum."""
 
-    def _is_quorum(self, who: set[Voter]) -> bool:
-        return 2 * len(who.intersection(self.voters)) >= len(self.voters)
+    def _is_quorum(self, voters: set[Voter]) -> bool:
+        return 2 * len(voters.intersection(self.voters)) >= len(self.voters)
 
 
-class OldEpochGoesOn(Node):
-    """A history begun by hand is not preferred to the one before."""
+class IgnoresNewEpochs(Node):
+    """Does not prefer an epoch that an operator started to the previous one."""
 
     def on_message(self, message: RaftMessage) -> list[effects.Effect]:
         if message.epoch != self.epoch and self.epoch != Epoch():
@@ -147,56 +147,56 @@
 
 class SnapshotLosesPermits(ReplicatedState):
     def save(self) -> bytes:
-        held, self.state.permits = self.state.permits, {}
+        permits, self.state.permits = self.state.permits, {}
         try:
             return super().save()
         finally:
-            self.state.permits = held
+            self.state.permits = permits
 
 
-class BudgetNotReckonedAgain(ReplicatedState):
-    """What the leader proposed is taken as it is."""
+class NoBudgetCheckOnApply(ReplicatedState):
+    """Applies a grant as the leader proposed it, without checking the budgets again."""
 
     def _grant_permit(self, index: int, command: GrantPermit) -> str:
         budgets, self.state.budgets = self.state.budgets, {}
         try:
-            boundless = DisruptionBudgets(proxies=1000, servers=1000, least_ready=0.0)
-            self.state.budgets = {"x": boundless}
+            unlimited = DisruptionBudgets(proxies=1000, servers=1000, least_ready=0.0)
+            self.state.budgets = {"x": unlimited}
             return super()._grant_permit(index, command)
         finally:
             self.state.budgets = budgets
 
 
-class BlindToProxies(ClusterState):
-    """No proxy is seen to be missing."""
+class NoMissingProxies(ClusterState):
+    """Observes no missing proxy."""
 
     def missing_proxies(self) -> tuple[Resource, ...]:
         return ()
 
 
-class BlindToEndpoints(ClusterState):
-    """No endpoint is seen to be missing."""
+class NoMissingEndpoints(ClusterState):
+    """Observes no missing endpoint."""
 
     def missing_endpoints(self) -> tuple[Resource, ...]:
         return ()
 
 
-class GrantsWithoutLooking(Controller):
-    """Goes by the wants alone; the replicated state is left to refuse."""
+class IgnoresMissingProxies(Controller):
+    """Proposes grants without counting missing proxies; only the replicated state can reject them."""
 
     def decide(self, inputs: Inputs) -> Command | None:
-        return super().decide(replace(inputs, cluster=BlindToProxies(**vars(inputs.cluster))))
+        return super().decide(replace(inputs, cluster=NoMissingProxies(**vars(inputs.cluster))))
 
 
-class FailureNotCounted(Controller):
-    """Servers that are down by themselves are not counted."""
+class IgnoresMissingEndpoints(Controller):
+    """Does not count servers that are down because of a fault."""
 
     def decide(self, inputs: Inputs) -> Command | None:
-        return super().decide(replace(inputs, cluster=BlindToEndpoints(**vars(inputs.cluster))))
+        return super().decide(replace(inputs, cluster=NoMissingEndpoints(**vars(inputs.cluster))))
 
 
-class PermitFreedByTime(Controller):
-    """Who has been out for three seconds is taken for back."""
+class ReturnsPermitsByTime(Controller):
+    """Takes a proxy that reports for back 0.2 s after its permit was first seen."""
 
     def _return_permit(self, permit: Permit, inputs: Inputs) -> Command | None:
         report = inputs.reports.get(permit.resource.name)
@@ -212,8 +212,8 @@
         return super()._halt_reason(release, replace(inputs, cluster=replace(inputs.cluster, halts={})))
 
 
-class EmptyByDefault(Controller):
-    """Who says nothing of a server is taken to hold nothing there."""
+class UnreportedIsDrained(Controller):
+    """Takes a proxy that does not report its connections to a server to have none."""
 
     def _mark_drained(self, permit: Permit, inputs: Inputs) -> Command | None:
         endpoint, reports = permit.resource.name, {}
@@ -224,7 +224,7 @@
         return super()._mark_drained(permit, replace(inputs, reports=reports))
 
 
-# --- the holder ---------------------------------------------------------------------------------------------
+# --- the permit holder and the agent ------------------------------------------------------------------------
 
 
 class HolderIgnoresHalts(PermitHolder):
@@ -238,8 +238,8 @@
         return super().reconcile()
 
 
-class LaterLifeUsesPermit(PermitHolder):
-    """A life that has started since goes out once more."""
+class LaterProcessUsesPermit(PermitHolder):
+    """A process that started after the grant uses the permit as well."""
 
     def _handle_permit(self, permit_id: int) -> None:
         permit = self.replicated.state.permits[permit_id]
@@ -251,15 +251,15 @@
 
 
 class HaltWaitsForQuorum(Agent):
-    """A halt is put in the log, and nowhere else."""
+    """Proposes a halt to the log only, instead of gossiping it."""
 
     def announce_halt(self, now: int, wall_ms: int, release_id: int) -> list[Effect]:
-        halt = HaltRelease(release_id=release_id, reason=f"said at {self.name}")
+        halt = HaltRelease(release_id=release_id, reason=f"halted at {self.name}")
         return self.submit(now, wall_ms, halt)[1]
 
 
-class DoneWhenBegun(PermitHolder):
-    """Says that it is back as soon as it goes."""
+class ReportsDoneAtStart(PermitHolder):
+    """Reports a permit as completed as soon as it begins to execute it."""
 
     def _execute(self, effect: ExecutePermit) -> None:
         super()._execute(effect)
@@ -268,43 +268,46 @@
             self.report_due = True
 
 
-def made_of(
+def agent_with(
     node: type[Node] | None = None,
     state: type[ReplicatedState] | None = None,
     controller: type[Controller] | None = None,
     holder: type[PermitHolder] | None = None,
 ) -> type[Agent]:
-    """An agent with one of its parts replaced."""
-    parts: dict[str, Any] = {
+    """An agent type with one component replaced by a mutant."""
+    components: dict[str, Any] = {
         "node_type": node,
         "state_type": state,
         "controller_type": controller,
         "holder_type": holder,
     }
-    kind = node or state or controller or holder
-    assert kind is not None
-    return type(kind.__name__, (Agent,), {key: value for key, value in parts.items() if value is not None})
+    mutant = node or state or controller or holder
+    assert mutant is not None
+    return type(
+        mutant.__name__, (Agent,), {key: value for key, value in components.items() if value is not None}
+    )
 
 
-NODES: tuple[type[Node], ...] = (
-    OldTermCounted, CountsItselfEarly, AnswersEarly, ForgottenVotes, VotesTwice, StaleVotes,
-    ManyChangesAtOnce, KeepsWhatDiffers, MinorityCommits, OldEpochGoesOn,
+NODE_MUTANTS: tuple[type[Node], ...] = (
+    CommitsOldTermsByCount, CountsUnstoredEntries, RepliesBeforeStoring, VotesAfterStateLoss, VotesTwice,
+    VotesForStaleLogs, OverlappingVoterChanges, KeepsConflictingEntries, HalfIsQuorum, IgnoresNewEpochs,
 )  # fmt: skip
-STATES: tuple[type[ReplicatedState], ...] = (SnapshotLosesPermits, BudgetNotReckonedAgain)
-CONTROLLERS: tuple[type[Controller], ...] = (
-    GrantsWithoutLooking, FailureNotCounted, PermitFreedByTime, LeaderIgnoresHalts, EmptyByDefault,
+STATE_MUTANTS: tuple[type[ReplicatedState], ...] = (SnapshotLosesPermits, NoBudgetCheckOnApply)
+CONTROLLER_MUTANTS: tuple[type[Controller], ...] = (
+    IgnoresMissingProxies, IgnoresMissingEndpoints, ReturnsPermitsByTime, LeaderIgnoresHalts,
+    UnreportedIsDrained,
 )  # fmt: skip
-AGENTS: tuple[type[Agent], ...] = (
-    made_of(holder=HolderIgnoresHalts), made_of(holder=UsesPermitsTwice),
-    made_of(holder=LaterLifeUsesPermit), HaltWaitsForQuorum, made_of(holder=DoneWhenBegun),
+AGENT_MUTANTS: tuple[type[Agent], ...] = (
+    agent_with(holder=HolderIgnoresHalts), agent_with(holder=UsesPermitsTwice),
+    agent_with(holder=LaterProcessUsesPermit), HaltWaitsForQuorum, agent_with(holder=ReportsDoneAtStart),
 )  # fmt: skip
-STORING = ("unsynced", "forgets votes")  # of the laboratory's disks
+STORAGE_FAULTS = ("unsynced", "forgets votes")  # of simulated disks
 
 
-def agents() -> list[tuple[str, type[Agent], str]]:
-    """All of them: name, agent, and how its disk fails it."""
-    found = [(kind.__name__, made_of(node=kind), "") for kind in NODES]
-    found += [(kind.__name__, made_of(state=kind), "") for kind in STATES]
-    found += [(kind.__name__, made_of(controller=kind), "") for kind in CONTROLLERS]
-    found += [(kind.__name__, kind, "") for kind in AGENTS]
-    return found + [(f"disk {how}", Agent, how) for how in STORING]
+def all_mutants() -> list[tuple[str, type[Agent], str]]:
+    """Name, agent type and storage fault of each."""
+    mutants = [(mutant.__name__, agent_with(node=mutant), "") for mutant in NODE_MUTANTS]
+    mutants += [(mutant.__name__, agent_with(state=mutant), "") for mutant in STATE_MUTANTS]
+    mutants += [(mutant.__name__, agent_with(controller=mutant), "") for mutant in CONTROLLER_MUTANTS]
+    mutants += [(mutant.__name__, mutant, "") for mutant in AGENT_MUTANTS]
+    return mutants + [(f"disk {storage_fault}", Agent, storage_fault) for storage_fault in STORAGE_FAULTS]
