--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from arrowseam.lab.scale_plan import Machine, Plan, PlanError
 from arrowseam.lab.schedule_drawing import draw
 from arrowseam.lab.schedule_player import Player
-from arrowseam.lab.simulated_cluster import SECOND, SimulatedCluster, units
+from arrowseam.lab.simulated_cluster import SECOND, SimulatedCluster, share_units
 from arrowseam.membership.settings import MembershipSettings
 from arrowseam.net.clock import clock
 from arrowseam.net.connection import Connection
@@ -158,10 +158,10 @@
 
     def plain() -> None:
         looks[0] += 1
-        assert net.taken == sum(units(p.proxy_count.value) for p in net.running.values())
+        assert net.total_units == sum(share_units(p.proxy_count.value) for p in net.running.values())
         exact = sum((Fraction(1, p.proxy_count.value) for p in net.running.values()), Fraction(0))
-        assert abs(net.sum - float(exact)) < 1e-15 * max(1, len(net.running))
-        assert net.share >= net.sum
+        assert abs(net.share_sum - float(exact)) < 1e-15 * max(1, len(net.running))
+        assert net.share_sum_max >= net.share_sum
         watch()
 
     net.watch = plain
@@ -175,9 +175,9 @@
     for name in net.names:
         net.start(name)
     assert net.until(net.agreed, 10 * SECOND) is not None
-    taken, told = net.taken, net.running["m1"].proxy_count.value
+    taken, told = net.total_units, net.running["m1"].proxy_count.value
     net.kill("m1")
-    assert net.taken == taken - units(told)
+    assert net.total_units == taken - share_units(told)
     assert net.until(net.agreed, 10 * SECOND) is not None
 
 
@@ -194,8 +194,8 @@
 def test_6500_members_in_26_zones_stand_and_take_a_cordon_and_an_end(gc_off: None) -> None:
     """The period is stretched to 3 s and the zones have 250: what is tried here is the number."""
     settings = MembershipSettings(probe_interval=3 * SECOND, probe_timeout=SECOND)
-    net = SimulatedCluster(6_500, 1, settings, zones={f"z{z}": 250 for z in range(26)}, abroad=0)
-    net.stand()
+    net = SimulatedCluster(6_500, 1, settings, zones={f"z{z}": 250 for z in range(26)}, foreign_seeds=0)
+    net.start_established()
     ended = [f"m{n}" for n in range(7, 250, 19)]
     for name in ended:
         net.kill(name)
@@ -210,7 +210,7 @@
     assert net.until(net.agreed, 10 * SECOND, 500_000) is not None
     # A zone has its part: those that have ended among 250 change nobody's but theirs.
     assert {p.proxy_count.value for name, p in net.running.items() if net.zone_of[name] != "z0"} == {6_500}
-    assert 0.99 < net.sum <= net.share <= 1.0
+    assert 0.99 < net.share_sum <= net.share_sum_max <= 1.0
 
 
 @pytest.fixture
