--- a/arrowseam/lab/agreed_stage.py
+++ b/arrowseam/lab/agreed_stage.py
@@ -84,7 +84,7 @@
         self.record.faults.append((self.now, self.now, step.what, one))
         match step.what:
             case "drain" | "undrain":
-                self.cluster.order(
+                self.cluster.start_control_call(
                     one, f"{step.what} {step.server}{' off' if step.what == 'undrain' else ''}"
                 )
             case "release":
@@ -96,17 +96,17 @@
             case "restarts":
                 self._begin(step, "release plan restart", b"")
             case _:
-                self.cluster.order(one, f"release {step.what}")
+                self.cluster.start_control_call(one, f"release {step.what}")
 
     def _begin(self, step: Step, words: str, body: bytes) -> None:
         one = step.who[0]
-        self.cluster.order(one, f"{words} soak_s=0.3 patience_s=8 gated=0", body)
+        self.cluster.start_control_call(one, f"{words} soak_s=0.3 patience_s=8 gated=0", body)
         for pause in (1, 2, 4):
             self.at(step.at + pause * SECOND, lambda: self._start_release(one))
 
     def _start_release(self, one: str) -> None:
         if one in self.cluster.processes and one not in self.stalled:
-            self.cluster.order(one, "release start")
+            self.cluster.start_control_call(one, "release start")
 
     def settle(self) -> None:
         self.cluster.adopt()
--- a/arrowseam/lab/local_cluster.py
+++ b/arrowseam/lab/local_cluster.py
@@ -262,7 +262,7 @@
 
     # --- what the processes say ---
 
-    def order(self, name: str, words: str, body: bytes = b"") -> Callable[[], str | None]:
+    def start_control_call(self, name: str, words: str, body: bytes = b"") -> Callable[[], str | None]:
         """Say a line to control, while the cluster runs on; what comes back is there once it is."""
         got: list[str] = []
 
@@ -286,7 +286,7 @@
 
     def ordered(self, name: str, words: str, body: bytes = b"") -> str:
         """The same, waited for."""
-        answer = self.order(name, words, body)
+        answer = self.start_control_call(name, words, body)
         self.until(lambda: answer() is not None, 12)
         return answer() or ""
 
--- a/arrowseam/lab/scale.py
+++ b/arrowseam/lab/scale.py
@@ -272,7 +272,9 @@
             began = clock()
             for name in list(self.traffic.cluster.processes):
                 process = self.traffic.cluster.processes[name]
-                asked = [self.traffic.cluster.order(name, words) for words in ("counters", "fleet")]
+                asked = [
+                    self.traffic.cluster.start_control_call(name, words) for words in ("counters", "fleet")
+                ]
                 due = clock() + 5 * SECOND
                 while any(a() is None for a in asked) and clock() < due:
                     yield clock() + 20 * MS
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -180,7 +180,7 @@
     cluster = t.cluster
     cluster.network.partition(["n0", "n3"], ["n1", "n2", "n4"])
     cluster.until(lambda: cluster.replicated("n1")["leader"] in ("n1", "n2"), 10)
-    lost = cluster.order("n3", "drain s0")
+    lost = cluster.start_control_call("n3", "drain s0")
     assert cluster.ordered("n4", "drain s1").startswith("ACK")
     cluster.until(lambda: cluster.replicated("n4")["permits"], 5)
     cluster.until(lambda: lost() is not None, 12)
