--- a/arrowseam/lab/agreed_stage.py
+++ b/arrowseam/lab/agreed_stage.py
@@ -65,7 +65,7 @@
     def ready(self) -> None:
         cluster = self.cluster
         cluster.until(lambda: cluster.replicated("n0").get("role") == "out", 15)
-        cluster.ordered("n0", "agree reset")
+        cluster.control_call("n0", "agree reset")
         cluster.until(self._checkpoint, 30)
 
     def _checkpoint(self) -> bool:
--- a/arrowseam/lab/local_cluster.py
+++ b/arrowseam/lab/local_cluster.py
@@ -284,7 +284,7 @@
         self.loop.start_task(run(), "operator")
         return lambda: got[0] if got else None
 
-    def ordered(self, name: str, words: str, body: bytes = b"") -> str:
+    def control_call(self, name: str, words: str, body: bytes = b"") -> str:
         """The same, waited for."""
         answer = self.start_control_call(name, words, body)
         self.until(lambda: answer() is not None, 12)
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -174,7 +174,7 @@
                 cluster.until(lambda cluster=cluster: cluster.agreed(cluster.names), 60)
                 if voters:
                     cluster.until(lambda cluster=cluster: cluster.replicated("n0").get("role") == "out", 10)
-                    cluster.ordered("n0", "agree reset")
+                    cluster.control_call("n0", "agree reset")
                     took = cluster.until(lambda cluster=cluster: _checkpoint(cluster), 30)
                     print(f"{members} proxies, 3 voters: agreed after {took:.1f} s")
                 cluster.run(3)
@@ -201,7 +201,7 @@
             {"aim": 300000, "deadline": 600000, "effect": "retryable", "name": "resident"}]}}  # fmt: skip
         body = json.dumps(settings).encode()
         words = f"release plan settings bytes={len(body)} soak_s=600 patience_s=600 gated=0"
-        cluster.ordered(rnd.choice(cluster.names), words, body)
+        cluster.control_call(rnd.choice(cluster.names), words, body)
         _said(cluster, "release start")
         cluster.until(
             lambda: any(
@@ -212,7 +212,7 @@
             20,
         )
         began = time.monotonic()
-        cluster.ordered(rnd.choice(cluster.names), "release halt")
+        cluster.control_call(rnd.choice(cluster.names), "release halt")
         cluster.until(lambda: all(_halted(cluster, n) for n in cluster.names), 10, 0.02)
         stops.append(time.monotonic() - began)
         _said(cluster, "release cancel")
@@ -225,7 +225,7 @@
 def _said(cluster: LocalCluster, words: str) -> None:
     """Again and again, until it is agreed."""
     for _ in range(60):
-        if cluster.ordered("n0", words).startswith("ACK"):
+        if cluster.control_call("n0", words).startswith("ACK"):
             return
         cluster.run(0.2)
     raise TimeoutError(words)
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -24,7 +24,7 @@
         cluster.start()
         cluster.until(lambda: cluster.agreed(cluster.names), 20)
         cluster.until(lambda: cluster.replicated("n0").get("role") == "out", 10)
-        assert cluster.ordered("n0", "agree reset").startswith("ACK")
+        assert cluster.control_call("n0", "agree reset").startswith("ACK")
         cluster.until(lambda: whole(cluster, voters), 15)
         return made[0]
 
@@ -64,9 +64,9 @@
     held = [t.start_client(n) for n in cluster.names for _ in range(4)]
     cluster.until(lambda: all(c.has("up") for c in held), 5)
     cluster.loop.start_task(t.generate_clients(), "crowd")
-    assert cluster.ordered("n4", "drain s9") == "NAK unknown server s9"
-    assert cluster.ordered("n4", "drain s0").startswith("ACK s0 waits")
-    assert cluster.ordered("n1", "drain s1").startswith("ACK")
+    assert cluster.control_call("n4", "drain s9") == "NAK unknown server s9"
+    assert cluster.control_call("n4", "drain s0").startswith("ACK s0 waits")
+    assert cluster.control_call("n1", "drain s1").startswith("ACK")
     cluster.until(lambda: all(cluster.replicated(n)["permits"] for n in cluster.names), 4)
     told = clock()
     assert [p["name"] for p in cluster.replicated("n2")["permits"]] == ["s0"]  # the other waits for its turn
@@ -80,10 +80,10 @@
         [row | {"lifecycle": "Terminating"} if row["instanceId"] == "s0" else row for row in rows]
     )
     cluster.run(1)
-    assert cluster.ordered("n2", "undrain s0").startswith("NAK s0 is not listed as ready")
+    assert cluster.control_call("n2", "undrain s0").startswith("NAK s0 is not listed as ready")
     cluster.set_endpoints(rows)
     cluster.run(1)
-    assert cluster.ordered("n2", "undrain s0").startswith("ACK s0 is back")
+    assert cluster.control_call("n2", "undrain s0").startswith("ACK s0 is back")
     cluster.until(lambda: [p["name"] for p in cluster.replicated("n3")["permits"]] == ["s1"], 5)
     cluster.until(lambda: any(wire[0].live for wire in t.servers.values()), 8)
     t.avoided = set(cluster.names)
@@ -124,12 +124,12 @@
     cluster = t.cluster
     cluster.loop.start_task(t.generate_clients(), "crowd")
     bad = json.dumps({"settings": {"lanes": [{"name": "tech", "deadline": -1}]}}).encode()
-    assert cluster.ordered("n0", f"release plan settings bytes={len(bad)}", bad).startswith("NAK")
+    assert cluster.control_call("n0", f"release plan settings bytes={len(bad)}", bad).startswith("NAK")
     good = bundle(1700)
     words = f"release plan settings bytes={len(good)} soak_s=0.5 patience_s=20 gated=0"
-    assert cluster.ordered("n5", words, good).startswith("ACK release")
+    assert cluster.control_call("n5", words, good).startswith("ACK release")
     # Whoever is told that it is done can go on there: its state has it by then, though it is no voter.
-    assert cluster.ordered("n5", "release start").startswith("ACK")
+    assert cluster.control_call("n5", "release start").startswith("ACK")
     cluster.until(lambda: release(cluster)["state"] == "done", 30)
     assert set(release(cluster, "n5")["members"].values()) == {"new"}
     digests = {cluster.replicated(n)["digest"] for n in cluster.names}
@@ -138,20 +138,20 @@
 
     slow = bundle(1500)
     words = f"release plan settings bytes={len(slow)} soak_s=2 patience_s=20 gated=0"
-    assert cluster.ordered("n0", words, slow).startswith("ACK release")
-    assert cluster.ordered("n0", "release start").startswith("ACK")
+    assert cluster.control_call("n0", words, slow).startswith("ACK release")
+    assert cluster.control_call("n0", "release start").startswith("ACK")
     cluster.until(lambda: list(release(cluster)["members"].values()).count("new") == 1, 10)
-    assert cluster.ordered("n4", "release halt").startswith("ACK")
+    assert cluster.control_call("n4", "release halt").startswith("ACK")
     said = clock()
     cluster.until(lambda: all(release(cluster, n)["halted"] for n in cluster.names), 3)
     assert clock() - said < 2_000_000
     cluster.run(3)
     assert list(release(cluster)["members"].values()).count("new") == 1
-    assert cluster.ordered("n1", "release back").startswith("ACK")
+    assert cluster.control_call("n1", "release back").startswith("ACK")
     cluster.run(1)
     assert release(cluster)["halted"]  # the halt still holds, also for the way back
     cluster.until(lambda: release(cluster)["state"] == "halted", 5)
-    assert cluster.ordered("n2", "release resume").startswith("ACK")
+    assert cluster.control_call("n2", "release resume").startswith("ACK")
     cluster.until(lambda: release(cluster)["state"] == "back", 15)
     assert {cluster.replicated(n)["digest"] for n in cluster.names} == digests
     t.avoided = set(cluster.names)
@@ -164,14 +164,14 @@
     cluster = traffic(3).cluster
     good = bundle(1700)
     words = f"release plan settings bytes={len(good)} soak_s=30 patience_s=60 gated=0"
-    assert cluster.ordered("n0", words, good).startswith("ACK")
-    assert cluster.ordered("n0", "release start").startswith("ACK")
+    assert cluster.control_call("n0", words, good).startswith("ACK")
+    assert cluster.control_call("n0", "release start").startswith("ACK")
     for _ in range(3):
         cluster.until(lambda: all(release(cluster, n)["state"] == "running" for n in cluster.names), 5)
-        assert cluster.ordered("n1", "release halt").startswith("ACK")
+        assert cluster.control_call("n1", "release halt").startswith("ACK")
         cluster.until(lambda: all(release(cluster, n)["state"] == "halted" for n in cluster.names), 5)
         assert all(release(cluster, n)["halted"] for n in cluster.names)
-        assert cluster.ordered("n2", "release resume").startswith("ACK")
+        assert cluster.control_call("n2", "release resume").startswith("ACK")
         cluster.until(lambda: not any(release(cluster, n)["halted"] for n in cluster.names), 5)
 
 
@@ -181,7 +181,7 @@
     cluster.network.partition(["n0", "n3"], ["n1", "n2", "n4"])
     cluster.until(lambda: cluster.replicated("n1")["leader"] in ("n1", "n2"), 10)
     lost = cluster.start_control_call("n3", "drain s0")
-    assert cluster.ordered("n4", "drain s1").startswith("ACK")
+    assert cluster.control_call("n4", "drain s1").startswith("ACK")
     cluster.until(lambda: cluster.replicated("n4")["permits"], 5)
     cluster.until(lambda: lost() is not None, 12)
     assert (lost() or "").startswith("NAK not agreed")
@@ -191,13 +191,13 @@
     good = bundle(1700)
     words = f"release plan settings bytes={len(good)} soak_s=30 patience_s=60 gated=0"
     cluster.until(lambda: cluster.agreed(cluster.names), 8)
-    assert cluster.ordered("n0", words, good).startswith("ACK")
-    assert cluster.ordered("n0", "release start").startswith("ACK")
+    assert cluster.control_call("n0", words, good).startswith("ACK")
+    assert cluster.control_call("n0", "release start").startswith("ACK")
     cluster.until(lambda: "new" in release(cluster)["members"].values(), 10)
     cluster.kill(["n0", "n1"])  # no quorum any more
     t.avoided = {"n0", "n1"}
     held = t.start_client("n3")
-    assert cluster.ordered("n3", "release halt").startswith("ACK")
+    assert cluster.control_call("n3", "release halt").startswith("ACK")
     cluster.until(lambda: all(release(cluster, n)["halted"] for n in ("n2", "n3", "n4")), 3)
     cluster.until(lambda: held.has("up"), 3)  # serving waits for nothing
 
@@ -209,8 +209,10 @@
     cluster.until(lambda: all(c.has("up") for c in held), 5)
     cluster.loop.start_task(t.generate_clients(), "crowd")
     before = {n: cluster.processes[n].pid for n in cluster.names}
-    assert cluster.ordered("n3", "release plan restart soak_s=0.2 patience_s=20 gated=0").startswith("ACK")
-    assert cluster.ordered("n3", "release start").startswith("ACK")
+    assert cluster.control_call("n3", "release plan restart soak_s=0.2 patience_s=20 gated=0").startswith(
+        "ACK"
+    )
+    assert cluster.control_call("n3", "release start").startswith("ACK")
 
     def through() -> bool:
         cluster.adopt()
@@ -228,7 +230,7 @@
 def test_a_voter_killed_with_its_state_on_disk_votes_again_and_one_without_is_taken_in(traffic) -> None:
     t = traffic(3)
     cluster = t.cluster
-    assert cluster.ordered("n1", "drain s0").startswith("ACK")
+    assert cluster.control_call("n1", "drain s0").startswith("ACK")
     cluster.until(lambda: cluster.replicated("n2")["permits"], 5)
     cluster.kill(["n0"])
     cluster.until(lambda: cluster.replicated("n1")["leader"] in ("n1", "n2"), 8)
@@ -242,7 +244,7 @@
     cluster.kill(["n0", "n1"])
     cluster.start(["n0", "n1"])  # a majority has lost its state: nothing is agreed until somebody says so
     cluster.until(lambda: cluster.agreed(cluster.names), 15)
-    assert cluster.ordered("n2", "undrain s0 off").startswith("NAK not agreed")
-    assert cluster.ordered("n2", "agree reset").startswith("ACK")  # it has the replicated state
+    assert cluster.control_call("n2", "undrain s0 off").startswith("NAK not agreed")
+    assert cluster.control_call("n2", "agree reset").startswith("ACK")  # it has the replicated state
     cluster.until(lambda: whole(cluster, 3), 15)
     assert [p["name"] for p in cluster.replicated("n0")["permits"]] == ["s0"]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -142,7 +142,7 @@
 
     try:
         listen(cluster.loop, ("127.0.0.1", cluster.ports["n0"]["control"]), "control", serve)
-        assert cluster.ordered("n0", "fleet") == text.decode()
+        assert cluster.control_call("n0", "fleet") == text.decode()
     finally:
         cluster.close()
 
