--- a/arrowseam/lab/fault_runner.py
+++ b/arrowseam/lab/fault_runner.py
@@ -276,7 +276,7 @@
         """Play the whole schedule; raises TimeoutError where the cluster does not come up."""
         cluster = self.cluster
         cluster.start()
-        cluster.until(lambda: cluster.agreed(cluster.names), 20 + len(cluster.names))
+        cluster.until(lambda: cluster.views_agree(cluster.names), 20 + len(cluster.names))
         self.ready()
         self.record.lives += [(0.0, name, "up") for name in cluster.names]
         cluster.loop.start_task(self._follow_logs(), "logs")
@@ -310,7 +310,7 @@
             self._resume(name)
         cluster.discovery_up = True
         try:
-            self.record.settled = cluster.until(cluster.agreed, SETTLE)
+            self.record.settled = cluster.until(cluster.views_agree, SETTLE)
         except TimeoutError:
             self.report_violation(f"views differ {SETTLE:g} s after the last fault")
         if (self.record.settled or SETTLE) > HELD_DEAD:
--- a/arrowseam/lab/local_cluster.py
+++ b/arrowseam/lab/local_cluster.py
@@ -333,7 +333,7 @@
         found = (re.fullmatch(r"([\w.]+):(-?\d+)\|[cg]", line) for line in self.call(name, "counters"))
         return {match[1]: int(match[2]) for match in found if match}
 
-    def agreed(self, names: Iterable[str] | None = None) -> bool:
+    def views_agree(self, names: Iterable[str] | None = None) -> bool:
         """Whether each of these holds just these, alive, all with one digest."""
         names = sorted(names if names is not None else self.processes)
         digests = set()
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -171,7 +171,7 @@
                        "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 0}  # fmt: skip
                 cluster.set_endpoints([row])
                 cluster.start()
-                cluster.until(lambda cluster=cluster: cluster.agreed(cluster.names), 60)
+                cluster.until(lambda cluster=cluster: cluster.views_agree(cluster.names), 60)
                 if voters:
                     cluster.until(lambda cluster=cluster: cluster.replicated("n0").get("role") == "out", 10)
                     cluster.control_call("n0", "agree reset")
@@ -195,7 +195,7 @@
             cluster.until(lambda o=others: any(cluster.replicated(n)["leader"] in o for n in o), 20, 0.02)
         )
         cluster.start([leader])
-        cluster.until(lambda: cluster.agreed(cluster.names) and _checkpoint(cluster), 30)
+        cluster.until(lambda: cluster.views_agree(cluster.names) and _checkpoint(cluster), 30)
         settings = {"settings": {"lanes": [
             {"aim": 300000, "deadline": 1_700_000 - turn, "effect": "retryable", "name": "tech"},
             {"aim": 300000, "deadline": 600000, "effect": "retryable", "name": "resident"}]}}  # fmt: skip
--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -50,23 +50,23 @@
         cluster = LocalCluster(Path(folder), members)
         try:
             cluster.start()
-            took = cluster.until(lambda: cluster.agreed(cluster.names), 60)
+            took = cluster.until(lambda: cluster.views_agree(cluster.names), 60)
             print(f"{members} proxies agree after {took:.1f} s")
             cluster.run(3)
             some = cluster.names[3 : 3 + members // 8]
             cluster.kill(some)
             rest = [n for n in cluster.names if n not in some]
-            took = cluster.until(lambda: cluster.agreed(rest), 30)
+            took = cluster.until(lambda: cluster.views_agree(rest), 30)
             print(f"{len(some)} killed: known to all after {took:.1f} s")
             cluster.start(some)
-            print(f"started again: {cluster.until(cluster.agreed, 30):.1f} s")
+            print(f"started again: {cluster.until(cluster.views_agree, 30):.1f} s")
             one_, other = cluster.names[: members // 2], cluster.names[members // 2 :]
             cluster.network.partition(one_, other)
-            took = cluster.until(lambda: cluster.agreed(one_) and cluster.agreed(other), 60)
+            took = cluster.until(lambda: cluster.views_agree(one_) and cluster.views_agree(other), 60)
             counts = sorted(set(cluster.proxy_counts().values()))
             print(f"cut in halves: each agrees after {took:.1f} s; told {counts}")
             cluster.network.heal()
-            print(f"healed: {cluster.until(cluster.agreed, 30):.1f} s")
+            print(f"healed: {cluster.until(cluster.views_agree, 30):.1f} s")
         finally:
             cluster.close()
 
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -22,7 +22,7 @@
         made.append(TrafficCluster(tmp_path, members, more=BUDGETS, voters=voters, disk=disk))
         cluster = made[0].cluster
         cluster.start()
-        cluster.until(lambda: cluster.agreed(cluster.names), 20)
+        cluster.until(lambda: cluster.views_agree(cluster.names), 20)
         cluster.until(lambda: cluster.replicated("n0").get("role") == "out", 10)
         assert cluster.control_call("n0", "agree reset").startswith("ACK")
         cluster.until(lambda: whole(cluster, voters), 15)
@@ -190,7 +190,7 @@
     cluster.until(lambda: [p["name"] for p in cluster.replicated("n3")["permits"]] == ["s1"], 8)
     good = bundle(1700)
     words = f"release plan settings bytes={len(good)} soak_s=30 patience_s=60 gated=0"
-    cluster.until(lambda: cluster.agreed(cluster.names), 8)
+    cluster.until(lambda: cluster.views_agree(cluster.names), 8)
     assert cluster.control_call("n0", words, good).startswith("ACK")
     assert cluster.control_call("n0", "release start").startswith("ACK")
     cluster.until(lambda: "new" in release(cluster)["members"].values(), 10)
@@ -243,7 +243,7 @@
     assert sent < clock() - 100 * MS
     cluster.kill(["n0", "n1"])
     cluster.start(["n0", "n1"])  # a majority has lost its state: nothing is agreed until somebody says so
-    cluster.until(lambda: cluster.agreed(cluster.names), 15)
+    cluster.until(lambda: cluster.views_agree(cluster.names), 15)
     assert cluster.control_call("n2", "undrain s0 off").startswith("NAK not agreed")
     assert cluster.control_call("n2", "agree reset").startswith("ACK")  # it has the replicated state
     cluster.until(lambda: whole(cluster, 3), 15)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -30,7 +30,7 @@
     def make(members: int) -> TrafficCluster:
         made.append(TrafficCluster(tmp_path, members))
         made[0].cluster.start()
-        made[0].cluster.until(lambda: made[0].cluster.agreed(made[0].cluster.names), 20)
+        made[0].cluster.until(lambda: made[0].cluster.views_agree(made[0].cluster.names), 20)
         return made[0]
 
     yield make
@@ -56,33 +56,33 @@
 
     one, other = names[:6], names[6:]
     cluster.network.partition(one, other)
-    cluster.until(lambda: cluster.agreed(one) and cluster.agreed(other), 15)
+    cluster.until(lambda: cluster.views_agree(one) and cluster.views_agree(other), 15)
     assert min(cluster.proxy_counts().values()) >= 12  # neither half acts as the whole fleet
     cluster.network.heal()
-    assert cluster.until(cluster.agreed, 8) < 6
+    assert cluster.until(cluster.views_agree, 8) < 6
 
     t.avoided = {"n3"}
     cluster.stall(["n3"])
     rest = [n for n in names if n != "n3"]
-    cluster.until(lambda: cluster.agreed(rest), 10)
+    cluster.until(lambda: cluster.views_agree(rest), 10)
     cluster.resume(["n3"])
-    cluster.until(cluster.agreed, 5)
+    cluster.until(cluster.views_agree, 5)
     t.avoided = {"n4", "n5", "n6"}
 
     cluster.kill(["n4", "n5"])
-    assert cluster.until(lambda: cluster.agreed([n for n in names if n not in ("n4", "n5")]), 8) < 5
+    assert cluster.until(lambda: cluster.views_agree([n for n in names if n not in ("n4", "n5")]), 8) < 5
     states = {row["name"]: row["state"] for row in cluster.view("n0")}
     assert states["n4"] == states["n5"] == "gone"
     cluster.start(["n4", "n5"])
-    cluster.until(cluster.agreed, 8)
+    cluster.until(cluster.views_agree, 8)
 
     assert cluster.call("n6", "cordon s0") == ["ACK"]
     cluster.until(lambda: all(cluster.cordons(n) == ["s0"] for n in names), 2)
     told = clock()
     cluster.kill(["n6"])
-    cluster.until(lambda: cluster.agreed([n for n in names if n != "n6"]), 8)
+    cluster.until(lambda: cluster.views_agree([n for n in names if n != "n6"]), 8)
     cluster.start(["n6"])
-    cluster.until(cluster.agreed, 8)
+    cluster.until(cluster.views_agree, 8)
     cluster.until(lambda: cluster.cordons("n6") == ["s0"], 2)
     cluster.run(2)
     sent = [at for wire in t.servers.values() for at in wire[0].opened_at]
@@ -129,7 +129,7 @@
     cluster.start(["n1"])
     cluster.until(lambda: old.poll() is not None, 10)
     cluster.network.heal()
-    cluster.until(cluster.agreed, 10)
+    cluster.until(cluster.views_agree, 10)
     assert cluster.view("n1")[0]["life"] > life
     assert sorted(row["name"] for row in cluster.view("n0")) == ["n0", "n1", "n2"]
     assert not any(c.ended_at for c in held)
@@ -143,7 +143,7 @@
     assert cluster.call("n1", "health") == ["ACK"]
     path.write_text(text)
     cluster.processes["n1"].send_signal(signal.SIGHUP)
-    cluster.until(cluster.agreed, 8)
+    cluster.until(cluster.views_agree, 8)
     assert not any(c.ended_at for c in held)
 
 
@@ -164,7 +164,7 @@
     figures = cluster.figures("n1")
     assert figures["edge.fleet.junk"] > 100
     assert figures["edge.fleet.oversized"] == 1
-    assert cluster.agreed()
+    assert cluster.views_agree()
     assert [r["life"] for r in cluster.view("n1")] == [r["life"] for r in before]
 
 
@@ -186,14 +186,14 @@
     assert {row["settings"] for row in rows[:-1]} == {rows[0]["settings"]}
     assert rows[1]["version"]
     cluster.network.partition(["n0"], ["n1", "n2"])
-    cluster.until(lambda: cluster.agreed(["n0"]) and cluster.agreed(["n1", "n2"]), 10)
+    cluster.until(lambda: cluster.views_agree(["n0"]) and cluster.views_agree(["n1", "n2"]), 10)
     assert command(*at).returncode == 3
     dead = command(at[0], "--forget", "n1")
     assert dead.returncode == 0
     assert _state(cluster, "n0", "n1") == "left"
     assert command(at[0], "--forget", "n9").returncode == 1
     cluster.network.heal()
-    cluster.until(cluster.agreed, 8)  # the operator was wrong: it is back
+    cluster.until(cluster.views_agree, 8)  # the operator was wrong: it is back
     assert command("--control=127.0.0.1:1").returncode == 1
 
 
