--- a/arrowseam/lab/agreed_stage.py
+++ b/arrowseam/lab/agreed_stage.py
@@ -62,7 +62,7 @@
             if int(found[1]):
                 self.begun.append((name, int(found[1])))
 
-    def ready(self) -> None:
+    def prepare(self) -> None:
         cluster = self.cluster
         cluster.until(lambda: cluster.replicated("n0").get("role") == "out", 15)
         cluster.control_call("n0", "agree reset")
--- a/arrowseam/lab/fault_runner.py
+++ b/arrowseam/lab/fault_runner.py
@@ -277,7 +277,7 @@
         cluster = self.cluster
         cluster.start()
         cluster.until(lambda: cluster.views_agree(cluster.names), 20 + len(cluster.names))
-        self.ready()
+        self.prepare()
         self.record.lives += [(0.0, name, "up") for name in cluster.names]
         cluster.loop.start_task(self._follow_logs(), "logs")
         cluster.loop.start_task(self.traffic.generate_clients(), "crowd")
@@ -290,7 +290,7 @@
         self.judge()
         return self.record
 
-    def ready(self) -> None:
+    def prepare(self) -> None:
         """Prepare what a subclass needs before the play begins."""
 
     def run_events(self) -> None:
