--- a/arrowseam/lab/fault_runner.py
+++ b/arrowseam/lab/fault_runner.py
@@ -51,13 +51,20 @@
         first_port: int = 0,
         servers: int = 3,
         visits: float = 40.0,
-        more: str = "",
+        operator_text: str = "",
         **agreed: Any,
     ) -> None:
         self.schedule, self.folder = schedule, folder
         json_log = 'log(format = "json")\n'
         self.traffic = TrafficCluster(
-            folder, schedule.members, servers, schedule.seed, first_port, visits, json_log + more, **agreed
+            folder,
+            schedule.members,
+            servers,
+            schedule.seed,
+            first_port,
+            visits,
+            json_log + operator_text,
+            **agreed,
         )
         self.cluster = self.traffic.cluster
         self.hit: set[str] = set()
--- a/arrowseam/lab/local_cluster.py
+++ b/arrowseam/lab/local_cluster.py
@@ -93,7 +93,7 @@
         members: int,
         seed: int = 1,
         seeds: int = 3,
-        more: str = "",
+        operator_text: str = "",
         nats: bool = False,
         fleet: bool = True,
         first_port: int = 0,
@@ -131,7 +131,7 @@
                 "name": "rig", "listen": f"127.0.0.1:{ours['fleet']}", "advertise": _text(shown[name]),
                 "seeds": [_text(shown[n]) for n in self.names[:seeds]],
             }  # fmt: skip
-            lines = [more]
+            lines = [operator_text]
             if fleet:
                 lines.append(f"fleet({', '.join(f'{k} = {json.dumps(v)}' for k, v in ring.items())})")
             if nats:
--- a/arrowseam/lab/rollout_fault_runner.py
+++ b/arrowseam/lab/rollout_fault_runner.py
@@ -53,7 +53,7 @@
     """A cluster of which three members are voters that keep their state on disk."""
 
     def __init__(self, schedule: Schedule, folder: Path, first_port: int = 0, **fields: Any) -> None:
-        super().__init__(schedule, folder, first_port, more=BUDGETS, voters=3, disk=True, **fields)
+        super().__init__(schedule, folder, first_port, operator_text=BUDGETS, voters=3, disk=True, **fields)
         self.decisions: dict[int, tuple[str, float]] = {}  # entry -> decision, time it was first logged
         self.begun_permits: list[tuple[str, int]] = []  # proxy, permit
         self.log_listeners.append(self._on_log_record)
--- a/arrowseam/lab/traffic.py
+++ b/arrowseam/lab/traffic.py
@@ -38,13 +38,13 @@
         seed: int = 1,
         first_port: int = 0,
         visits: float = 40.0,
-        more: str = "",
+        operator_text: str = "",
         **agreed: Any,
     ) -> None:
-        """``visits``: clients a second. ``more``: Starlark text for every proxy's operator file."""
+        """``visits``: clients a second. ``operator_text``: Starlark text for every proxy's operator file."""
         self.pause = int(SECOND / visits)
         self.cluster = LocalCluster(
-            folder, members, seed, nats=True, first_port=first_port, more=more, **agreed
+            folder, members, seed, nats=True, first_port=first_port, operator_text=operator_text, **agreed
         )
         self.wires = {wire: WireContext(self.cluster, wire) for wire in PROTOCOL_MESSAGES}
         self.servers = {
--- a/benchmarks/agreed.py
+++ b/benchmarks/agreed.py
@@ -173,7 +173,7 @@
                 members,
                 voters=voters,
                 disk=True,
-                more="budgets(proxies = 2)\n" if voters else "",
+                operator_text="budgets(proxies = 2)\n" if voters else "",
             )
             try:
                 # A proxy that knows no server does not serve, and is not let out.
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -19,7 +19,7 @@
     made: list[TrafficCluster] = []
 
     def make(members: int, voters: int = 3, disk: bool = False) -> TrafficCluster:
-        made.append(TrafficCluster(tmp_path, members, more=BUDGETS, voters=voters, disk=disk))
+        made.append(TrafficCluster(tmp_path, members, operator_text=BUDGETS, voters=voters, disk=disk))
         cluster = made[0].cluster
         cluster.start()
         cluster.until(lambda: cluster.views_agree(cluster.names), 20)
