--- a/arrowseam/lab/fault_runner.py
+++ b/arrowseam/lab/fault_runner.py
@@ -165,7 +165,7 @@
                 if process.poll() is None:
                     self.at(int(self.now * SECOND) + PROCESS_POLL, ended)
                     return
-                self.cluster.ended(name)
+                self.cluster.reap(name)
                 self.record.lives.append((self.now, name, "down"))
                 self._forget_recent_cordons(name)
 
@@ -271,7 +271,7 @@
         one = step.who[0] if step.who else ""
         if one not in self.cluster.processes or one in self.stalled:
             return
-        if self.cluster.call(one, f"{kind.value} {step.server}") != ["ACK"]:
+        if self.cluster.blocking_control_call(one, f"{kind.value} {step.server}") != ["ACK"]:
             return
         self.cordoned.pop(step.server, None)
         if kind is FaultKind.CORDON:
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -35,7 +35,7 @@
 
 def whole(cluster, voters: int) -> bool:
     """All voters are in and have said their budgets, and everybody follows."""
-    rows = [cluster.agreement(name) for name in cluster.processes]
+    rows = [cluster.agreement_rows(name) for name in cluster.processes]
     index = {r[0].get("index") for r in rows if r}
     return (
         all(r for r in rows)
@@ -74,8 +74,8 @@
     for wire in t.servers.values():
         assert not wire[0].live  # so it is empty
         assert max(wire[0].opened_at) < told + 2_000_000
-    assert cluster.call("n3", "uncordon s0") == ["NAK out by agreement: undrain it"]
-    rows = cluster.rows
+    assert cluster.blocking_control_call("n3", "uncordon s0") == ["NAK out by agreement: undrain it"]
+    rows = cluster.endpoint_rows
     cluster.set_endpoints(
         [row | {"lifecycle": "Terminating"} if row["instanceId"] == "s0" else row for row in rows]
     )
@@ -94,29 +94,31 @@
 def test_the_commands_say_what_is_agreed_and_what_is_not(traffic) -> None:
     cluster = traffic(3).cluster
     at = f"--control=127.0.0.1:{cluster.ports['n1']['control']}"
-    good = cluster.command("drain", "--zone", "z", at)
+    good = cluster.run_program("drain", "--zone", "z", at)
     assert good.returncode == 0 and good.stdout.count("waits for its turn") == 3, good
     cluster.until(lambda: any(p["safe"] for p in cluster.replicated("n1")["permits"]), 10)
-    status = cluster.command("release", "status", at)
+    status = cluster.run_program("release", "status", at)
     assert status.returncode == 0
     assert "empty: safe to stop" in status.stdout
     assert "drains that wait" in status.stdout
     (server,) = [p["name"] for p in cluster.replicated("n1")["permits"]]
-    assert cluster.command("drain", server, at).returncode == 1  # drained already
-    rows = [json.loads(line) for line in cluster.command("release", "log", "--json", at).stdout.splitlines()]
+    assert cluster.run_program("drain", server, at).returncode == 1  # drained already
+    rows = [
+        json.loads(line) for line in cluster.run_program("release", "log", "--json", at).stdout.splitlines()
+    ]
     assert [row["what"] for row in rows].count("drain") == 4
     assert rows[-1]["refused"]
-    assert cluster.command("undrain", server, at).returncode == 0
+    assert cluster.run_program("undrain", server, at).returncode == 0
     bundle_file = cluster.folder / "new.json"
     bundle_file.write_bytes(bundle(1700))
-    plan = cluster.command("release", "plan", "settings", str(bundle_file), "--no-gates", at)
+    plan = cluster.run_program("release", "plan", "settings", str(bundle_file), "--no-gates", at)
     assert plan.returncode == 0 and "3 proxies in" in plan.stdout, plan
-    assert cluster.command("release", "halt", at).returncode == 0
-    assert cluster.command("release", "status", at).returncode == 3
-    assert cluster.command("release", "cancel", at).returncode == 0
-    assert cluster.command("agree", "reset", at).returncode == 2  # not without --yes
-    assert cluster.command("agree", "off", "n2", at).returncode == 1
-    assert cluster.command("drain", "s0", "--control=127.0.0.1:1").returncode == 1
+    assert cluster.run_program("release", "halt", at).returncode == 0
+    assert cluster.run_program("release", "status", at).returncode == 3
+    assert cluster.run_program("release", "cancel", at).returncode == 0
+    assert cluster.run_program("agree", "reset", at).returncode == 2  # not without --yes
+    assert cluster.run_program("agree", "off", "n2", at).returncode == 1
+    assert cluster.run_program("drain", "s0", "--control=127.0.0.1:1").returncode == 1
 
 
 def test_settings_are_released_in_waves_halted_anywhere_and_brought_back(traffic) -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -76,7 +76,7 @@
     cluster.start(["n4", "n5"])
     cluster.until(cluster.views_agree, 8)
 
-    assert cluster.call("n6", "cordon s0") == ["ACK"]
+    assert cluster.blocking_control_call("n6", "cordon s0") == ["ACK"]
     cluster.until(lambda: all(cluster.cordons(n) == ["s0"] for n in names), 2)
     told = clock()
     cluster.kill(["n6"])
@@ -87,7 +87,7 @@
     cluster.run(2)
     sent = [at for wire in t.servers.values() for at in wire[0].opened_at]
     assert max(sent) < told + 100 * MS
-    assert cluster.call("n7", "uncordon s0") == ["ACK"]
+    assert cluster.blocking_control_call("n7", "uncordon s0") == ["ACK"]
     cluster.until(lambda: all(cluster.cordons(n) == [] for n in names), 2)
     cluster.until(
         lambda: max(at for w in t.servers.values() for at in w[0].opened_at) > clock() - 5_000_000, 8
@@ -108,7 +108,7 @@
     process = cluster.terminate("n2")
     cluster.until(lambda: all(_state(cluster, n, "n2") == "left" for n in ("n0", "n1", "n3")), 2)
     cluster.until(lambda: process.poll() is not None, 8)
-    cluster.ended("n2")
+    cluster.reap("n2")
     assert all(c.has("moved") for c in held)
     cluster.until(lambda: set(cluster.proxy_counts().values()) == {proxy_count(4, 4, 1, 0)}, 15)
 
@@ -139,8 +139,8 @@
     path.write_text("\n".join(line for line in text.splitlines() if not line.startswith("fleet(")))
     cluster.processes["n1"].send_signal(signal.SIGHUP)
     cluster.until(lambda: _state(cluster, "n0", "n1") == "left", 5)
-    assert cluster.call("n1", "fleet") == ["NAK unknown call"]
-    assert cluster.call("n1", "health") == ["ACK"]
+    assert cluster.blocking_control_call("n1", "fleet") == ["NAK unknown call"]
+    assert cluster.blocking_control_call("n1", "health") == ["ACK"]
     path.write_text(text)
     cluster.processes["n1"].send_signal(signal.SIGHUP)
     cluster.until(cluster.views_agree, 8)
@@ -161,7 +161,7 @@
     cluster.run(1)
     served = t.start_client("n1")
     cluster.until(lambda: served.has("up"), 2)
-    figures = cluster.figures("n1")
+    figures = cluster.metrics("n1")
     assert figures["edge.fleet.junk"] > 100
     assert figures["edge.fleet.oversized"] == 1
     assert cluster.views_agree()
@@ -173,7 +173,7 @@
     cluster = t.cluster
 
     def command(*words: str) -> subprocess.CompletedProcess[str]:
-        return cluster.command("fleet", *words)
+        return cluster.run_program("fleet", *words)
 
     at = [f"--control=127.0.0.1:{cluster.ports[n]['control']}" for n in cluster.names]
     good = command(*at)
