--- a/arrowseam/lab/__init__.py
+++ b/arrowseam/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: fleets under faults, simulated and real, and a referee. Nothing of it runs in a proxy."""
+"""Clusters under faults, simulated and of real processes, and the checks on them. No proxy imports this."""
--- a/arrowseam/lab/fault_kinds.py
+++ b/arrowseam/lab/fault_kinds.py
@@ -1,7 +1,4 @@
-"""The faults that a schedule on real processes may contain, and schedules drawn from a seed.
-
-It must never play a fault.
-"""
+"""The faults that a schedule on real processes may contain, and schedules drawn from a seed."""
 
 from __future__ import annotations
 
@@ -13,7 +10,7 @@
 
 
 class FaultKind(StrEnum):
-    """A fault, by its word in schedule files."""
+    """A fault; the value is its word in schedule files."""
 
     KILL = "kill"
     RESTART = "restart"
@@ -36,7 +33,7 @@
 
 
 class Targets(StrEnum):
-    """How many members a fault names."""
+    """How many members a fault applies to; a fault of all links or of discovery names none."""
 
     ONE = "one"
     SOME = "some"
@@ -56,7 +53,7 @@
 
 KINDS: dict[str, Targets] = {kind.value: _targets(kind) for kind in FaultKind}
 
-# Kinds that are drawn; one that stands twice is drawn twice as often. The order is part of what a seed means.
+# Kinds to draw from; one listed twice is drawn twice as often. Reordering changes the schedule of each seed.
 DRAWN = (
     FaultKind.KILL, FaultKind.RESTART, FaultKind.STALL, FaultKind.STALL, FaultKind.PARTITION,
     FaultKind.PARTITION, FaultKind.PARTITION_IN_THREE, FaultKind.PARTITION_ONE_WAY, FaultKind.LOSS,
@@ -66,18 +63,18 @@
 
 
 def draw(seed: int, members: int | None = None, steps: int = 5, within: float = 8.0) -> Schedule:
-    """Draw up to ``steps`` faults within ``within`` seconds; 3 to 7 members if no number is given."""
+    """Draw up to ``steps`` faults within ``within`` seconds, for 3 to 7 members if ``members`` is None."""
     rnd = random.Random(seed)
     count = rnd.randint(3, 7) if members is None else members
     names = [f"n{n}" for n in range(count)]
     found: list[Step] = []
-    cordoned = False
+    has_cordon = False
     for _ in range(rnd.randint(1, steps)):
         step = _draw_step(rnd, names, within)
         if step.what == FaultKind.CORDON:
-            if cordoned:
+            if has_cordon:
                 continue
-            cordoned = True
+            has_cordon = True
         found.append(step)
     return Schedule(seed, count, sorted(found, key=lambda s: s.at))
 
--- a/arrowseam/lab/fault_runner.py
+++ b/arrowseam/lab/fault_runner.py
@@ -1,8 +1,7 @@
-"""Plays a schedule of faults on real processes under traffic, and judges it by what came out.
+"""Plays a schedule of faults on real processes under traffic, records what happens and checks the results.
 
-It owns when each fault begins and ends, what is written down meanwhile, and the verdict. It must never look
-into a process: it reads control, logs and the stand-ins' own records. A seed repeats which faults come when,
-not the timing of the machine.
+Processes are observed only from outside: through control, logs and the records of the stand-ins. A seed
+repeats the faults and their times, not the timing of the machine.
 """
 
 from __future__ import annotations
@@ -23,14 +22,14 @@
 from arrowseam.net.task import Coroutine
 
 SETTLE = 15.0  # seconds after the last fault within which all views must be equal
-HELD_DEAD = 3.0  # seconds after it within which no view may hold a running, reachable member dead
-CORDON_SPREAD = 2.0  # seconds after which a cordon outlives the proxy that took it
-LOG_POLL = 50 * MS  # between two reads of the logs: the precision of the times in a record
-PROCESS_POLL = 50 * MS  # between two checks whether a draining process has ended
+FALSE_DEAD_MAX = 3.0  # seconds after it; later, no view may show a reachable member as dead
+CORDON_SPREAD = 2.0  # seconds after which a cordon survives the end of the proxy that accepted it
+LOG_POLL = 50 * MS  # interval between reads of the logs, hence the precision of times in a record
+PROCESS_POLL = 50 * MS  # interval between checks whether a draining process has ended
 RESTART_DELAY_MAX = 300 * MS
 
 PARTITIONS = (FaultKind.PARTITION, FaultKind.PARTITION_IN_THREE, FaultKind.PARTITION_ONE_WAY)
-# Faults of all links, with their strength where the schedule gives none: a probability, or seconds of delay.
+# Faults of all links, with the default strength: a probability, or seconds of delay.
 LINK_FAULTS = {
     FaultKind.LOSS: 0.3,
     FaultKind.DUPLICATION: 0.5,
@@ -42,7 +41,7 @@
 
 
 class FaultRunner:
-    """One play of a schedule. ``hit`` are proxies whose own clients a fault may harm."""
+    """One play of a schedule. A fault may harm the clients of the proxies in ``faulted``."""
 
     def __init__(
         self,
@@ -52,7 +51,7 @@
         servers: int = 3,
         visits: float = 40.0,
         operator_text: str = "",
-        **agreed: Any,
+        **cluster_options: Any,
     ) -> None:
         self.schedule, self.folder = schedule, folder
         json_log = 'log(format = "json")\n'
@@ -64,30 +63,29 @@
             first_port,
             visits,
             json_log + operator_text,
-            **agreed,
+            **cluster_options,
         )
         self.cluster = self.traffic.cluster
-        self.hit: set[str] = set()
+        self.faulted: set[str] = set()
         self.record = Record(schedule.text())
         self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.order = 0
+        self.event_count = 0
         self.began = clock()
         self.cordoned: dict[str, tuple[int, str]] = {}  # server -> when it was set, and at which proxy
         self.stalled: set[str] = set()
-        self.read_to: dict[str, int] = {}
-        self.log_listeners: list[
-            Callable[[float, str, dict[str, Any]], None]
-        ] = []  # called with each line of a log
+        self.log_offsets: dict[str, int] = {}
+        # Called with the time, the member and the fields of each log line.
+        self.log_listeners: list[Callable[[float, str, dict[str, Any]], None]] = []
 
     # --- the record ---
 
     @property
     def now(self) -> float:
-        """Seconds since the schedule's beginning."""
+        """Seconds since the beginning of the schedule."""
         return (clock() - self.began) / SECOND
 
     def _follow_logs(self) -> Coroutine[None]:
-        """Read the logs as they grow."""
+        """Read new log lines at intervals."""
         while True:
             self.read_logs()
             pause = clock() + LOG_POLL
@@ -95,17 +93,17 @@
                 yield pause
 
     def read_logs(self) -> None:
-        """Read the lines that the logs have gained."""
+        """Read the complete lines appended to the logs since the last call."""
         for name in self.cluster.names:
             path = self.folder / f"{name}.log"
             if not path.exists():
                 continue
             with path.open("rb") as file:
-                file.seek(self.read_to.get(name, 0))
+                file.seek(self.log_offsets.get(name, 0))
                 data = file.read()
-            whole = data[: data.rfind(b"\n") + 1]
-            self.read_to[name] = self.read_to.get(name, 0) + len(whole)
-            for line in whole.splitlines():
+            complete = data[: data.rfind(b"\n") + 1]
+            self.log_offsets[name] = self.log_offsets.get(name, 0) + len(complete)
+            for line in complete.splitlines():
                 self._read_line(name, line)
 
     def _read_line(self, name: str, line: bytes) -> None:
@@ -125,19 +123,19 @@
             listener(self.now, name, doc)
 
     def report_violation(self, text: str) -> None:
-        """Record a broken promise, once."""
+        """Record a violation, once."""
         if text not in self.record.broken:
             self.record.broken.append(text)
 
     # --- the faults ---
 
     def at(self, when: int, act: Callable[[], None]) -> None:
-        """Microseconds from the beginning of the schedule."""
-        self.order += 1
-        heapq.heappush(self.events, (when, self.order, act))
+        """Schedule ``act`` at ``when``, in microseconds from the beginning of the schedule."""
+        self.event_count += 1
+        heapq.heappush(self.events, (when, self.event_count, act))
 
-    def _down(self, name: str) -> None:
-        self.hit.add(name)
+    def _record_down(self, name: str) -> None:
+        self.faulted.add(name)
         self.traffic.avoided.add(name)
         self.record.lives.append((self.now, name, "down"))
 
@@ -149,7 +147,7 @@
     def _kill(self, name: str, power_off: bool = False) -> None:
         if name in self.cluster.processes:
             self.stalled.discard(name)
-            self._down(name)
+            self._record_down(name)
             self.cluster.kill([name], power_off)
             self._forget_recent_cordons(name)
 
@@ -157,29 +155,29 @@
         if name in self.cluster.processes and name not in self.stalled:
             self.traffic.avoided.add(name)
             process = self.cluster.terminate(name)
-            self.hit.add(name)  # what it still places is refused, as its drain says
+            self.faulted.add(name)  # while it drains, it refuses requests that it still has to place
 
-            def ended() -> None:
+            def check_ended() -> None:
                 if self.cluster.processes.get(name) is not process:
                     return
                 if process.poll() is None:
-                    self.at(int(self.now * SECOND) + PROCESS_POLL, ended)
+                    self.at(int(self.now * SECOND) + PROCESS_POLL, check_ended)
                     return
                 self.cluster.reap(name)
                 self.record.lives.append((self.now, name, "down"))
                 self._forget_recent_cordons(name)
 
-            self.at(int(self.now * SECOND) + PROCESS_POLL, ended)
+            self.at(int(self.now * SECOND) + PROCESS_POLL, check_ended)
 
     def _forget_recent_cordons(self, name: str) -> None:
-        """A cordon that a member took just before its end may have reached no other."""
+        """Forget cordons that a member accepted just before its end: they may have reached no other."""
         for server, (set_at, by) in list(self.cordoned.items()):
             if by == name and clock() - set_at < CORDON_SPREAD * SECOND:
                 del self.cordoned[server]
 
     def _stall(self, name: str) -> None:
         if name in self.cluster.processes and name not in self.stalled:
-            self.hit.add(name)
+            self.faulted.add(name)
             self.traffic.avoided.add(name)
             self.stalled.add(name)
             self.cluster.stall([name])
@@ -192,11 +190,11 @@
             self.traffic.avoided.discard(name)
 
     def step(self, step: Step) -> None:
-        """Begin one fault, and have it end when its span is over."""
+        """Begin one fault and schedule its end after its span."""
         span = 0.0 if step.what in WITHOUT_SPAN else step.span / SECOND
         self.record.faults.append((self.now, self.now + span, step.what, " ".join(step.who)))
         if step.what not in KINDS:
-            return  # a schedule in JSON may hold faults that only the simulated cluster has
+            return  # a schedule in JSON may contain faults that only the simulated cluster has
         kind = FaultKind(step.what)
         if kind in PARTITIONS:
             self._partition(kind, step)
@@ -235,7 +233,7 @@
                 self.at(step.at + step.span, lambda: self._resume(one))
 
     def _restart_all(self, at: int) -> None:
-        """Kill all members; they start again spread over a second."""
+        """Kill all members and restart them, spread over a second."""
         names = self.cluster.names
         for name in names:
             self._kill(name)
@@ -250,7 +248,7 @@
         self.at(step.at + step.span, lambda: network.restore(links))
 
     def _disturb_links(self, kind: FaultKind, step: Step) -> None:
-        """Set the fault on the links between all members; the step's number overrides its strength."""
+        """Set a fault on the links between all members; the step's number overrides the default strength."""
         network, names = self.cluster.network, self.cluster.names
         strength = step.number or LINK_FAULTS[kind]
         fields: dict[str, float]
@@ -267,7 +265,7 @@
         self.at(step.at + step.span, lambda: network.set_links(names, **dict.fromkeys(fields, 0)))
 
     def _cordon(self, kind: FaultKind, step: Step) -> None:
-        """Cordon or uncordon a server at one proxy, unless that cannot answer."""
+        """Cordon or uncordon a server at one proxy, unless the proxy cannot reply."""
         one = step.who[0] if step.who else ""
         if one not in self.cluster.processes or one in self.stalled:
             return
@@ -280,7 +278,7 @@
     # --- the play ---
 
     def play(self) -> Record:
-        """Play the whole schedule; raises TimeoutError where the cluster does not come up."""
+        """Play the whole schedule; raises TimeoutError if the cluster does not come up."""
         cluster = self.cluster
         cluster.start()
         cluster.until(lambda: cluster.views_agree(cluster.names), 20 + len(cluster.names))
@@ -298,7 +296,7 @@
         return self.record
 
     def prepare(self) -> None:
-        """Prepare what a subclass needs before the play begins."""
+        """Hook for subclasses: called once the views agree, before the schedule begins."""
 
     def run_events(self) -> None:
         """Run all pending events, each at its time."""
@@ -310,7 +308,7 @@
             heapq.heappop(self.events)[2]()
 
     def settle(self) -> None:
-        """The last fault is over: every link is up, whoever stands still runs on."""
+        """Remove all remaining faults and check that the views become equal."""
         cluster = self.cluster
         cluster.network.heal()
         for name in list(self.stalled):
@@ -320,47 +318,51 @@
             self.record.settled = cluster.until(cluster.views_agree, SETTLE)
         except TimeoutError:
             self.report_violation(f"views differ {SETTLE:g} s after the last fault")
-        if (self.record.settled or SETTLE) > HELD_DEAD:
+        if (self.record.settled or SETTLE) > FALSE_DEAD_MAX:
             for name in cluster.processes:
                 for row in cluster.view(name):
                     if row["name"] in cluster.processes and row["state"] not in ("alive", "suspect"):
-                        self.report_violation(f"{name} holds {row['name']} {row['state']}")
+                        self.report_violation(f"{name} shows {row['name']} as {row['state']}")
 
     def judge(self) -> None:
-        """Check shares, cordons and clients once the views are equal."""
+        """Check proxy counts, cordons and clients once the views are equal."""
         cluster, settled = self.cluster, time.monotonic()
-        for name, told in cluster.proxy_counts().items():
-            if told < len(cluster.processes):
-                self.report_violation(f"{name} is told {told} of {len(cluster.processes)}")
+        for name, count in cluster.proxy_counts().items():
+            if count < len(cluster.processes):
+                self.report_violation(f"{name} counts {count} of {len(cluster.processes)} proxies")
         for server in self.cordoned:
             self._judge_cordon(server)
-        self.traffic.avoided = set(cluster.names)  # clients that have arrived get their answers first
+        self.traffic.avoided = set(cluster.names)  # clients that have already arrived get their replies
         cluster.run(max(1.0, 2.5 - (time.monotonic() - settled)))
-        for name, got in self.traffic.harmed_clients(self.hit):
-            self.report_violation(f"a client of {name} got {got[:60]!r}")
+        for name, received in self.traffic.harmed_clients(self.faulted):
+            self.report_violation(
+                f"a client of {name} was not served or was cut off; it received {received[:60]!r}"
+            )
         self.read_logs()
         self.record.ended = self.now
-        came = [c for name, c in self.traffic.arrivals if name not in self.hit]
-        self.record.clients = {"came": len(self.traffic.arrivals), "to proxies spared": len(came),
-                               "of these up": sum(c.has("up") for c in came)}  # fmt: skip
+        counted = [c for name, c in self.traffic.arrivals if name not in self.faulted]
+        self.record.clients = {"came": len(self.traffic.arrivals), "to proxies spared": len(counted),
+                               "of these up": sum(c.has("up") for c in counted)}  # fmt: skip
 
     def _judge_cordon(self, server: str) -> None:
-        """All hold it, and 2 s later nothing new goes there."""
+        """Check that all proxies have the cordon, and that 2 s later no new connections go to the server."""
         cluster = self.cluster
         held = {name: server in cluster.cordons(name) for name in cluster.processes}
         if not any(held.values()):
-            return  # all who knew of it have ended
+            return  # all proxies that knew of it have ended
         if not all(held.values()):
-            self.report_violation(f"a cordon is held by {sorted(n for n in held if held[n])} only")
-        known = clock()
+            self.report_violation(f"a cordon is known only to {sorted(n for n in held if held[n])}")
+        known_at = clock()
         cluster.run(2.5)
-        for there in self.traffic.servers.values():
-            late = [at for s in there if s.name == server for at in s.opened_at if at > known + 2 * SECOND]
+        for servers in self.traffic.servers.values():
+            late = [
+                at for s in servers if s.name == server for at in s.opened_at if at > known_at + 2 * SECOND
+            ]
             if late:
-                self.report_violation(f"{len(late)} connections to {server}, cordoned, after 2 s")
+                self.report_violation(f"{len(late)} connections to {server} later than 2 s after its cordon")
 
     def close(self) -> None:
-        """End all processes."""
+        """Close the cluster."""
         self.traffic.close()
 
 
@@ -371,7 +373,7 @@
     kind: type[FaultRunner] = FaultRunner,
     **fields: Any,
 ) -> Record:
-    """Play one schedule; a cluster that could not be set up is reported as such, not as a proxy's fault."""
+    """Play one schedule; if the cluster cannot be set up, the record says "not played"."""
     runner = kind(schedule, folder, first_port, **fields)
     try:
         return runner.play()
--- a/arrowseam/lab/traffic.py
+++ b/arrowseam/lab/traffic.py
@@ -1,7 +1,6 @@
-"""A cluster of real proxies under traffic: stand-in servers and a steady flow of clients, on both wires.
+"""A cluster of real proxies under traffic: stand-in servers and a steady flow of clients of both protocols.
 
-It owns the cluster's servers and clients. It must never look into a proxy, nor judge: whether a client was
-harmed follows from the bytes that it got itself.
+Proxies are observed only from outside: whether a client was harmed follows from the bytes that it received.
 """
 
 from __future__ import annotations
@@ -39,12 +38,18 @@
         first_port: int = 0,
         visits: float = 40.0,
         operator_text: str = "",
-        **agreed: Any,
+        **cluster_options: Any,
     ) -> None:
-        """``visits``: clients a second. ``operator_text``: Starlark text for every proxy's operator file."""
-        self.pause = int(SECOND / visits)
+        """``visits``: new clients a second. ``operator_text``: Starlark text added to every operator file."""
+        self.arrival_interval = int(SECOND / visits)
         self.cluster = LocalCluster(
-            folder, members, seed, nats=True, first_port=first_port, operator_text=operator_text, **agreed
+            folder,
+            members,
+            seed,
+            nats=True,
+            first_port=first_port,
+            operator_text=operator_text,
+            **cluster_options,
         )
         self.wires = {wire: WireContext(self.cluster, wire) for wire in PROTOCOL_MESSAGES}
         self.servers = {
@@ -52,12 +57,12 @@
             for w in PROTOCOL_MESSAGES
         }
         self.cluster.set_endpoints([server.row for server in self.servers["lines"]])
-        places = {s.name: s.row["hostPort"] for s in self.servers["nats"]}
+        server_addresses = {s.name: s.row["hostPort"] for s in self.servers["nats"]}
         for path in folder.glob("*.star"):
-            path.write_text(path.read_text().replace("SERVERS", json.dumps(places)))
+            path.write_text(path.read_text().replace("SERVERS", json.dumps(server_addresses)))
         self.arrivals: list[tuple[str, StandInClient]] = []  # the proxy's name, and the client
         self.avoided: set[str] = set()  # proxies that new clients do not connect to
-        self.rnd, self.number = random.Random(seed), 0
+        self.rnd, self.client_count = random.Random(seed), 0
 
     def generate_clients(self) -> Coroutine[None]:
         """Start clients at the set rate, each at a proxy drawn from the seed."""
@@ -65,24 +70,24 @@
             candidates = [n for n in self.cluster.processes if n not in self.avoided]
             if candidates:
                 self.start_client(self.rnd.choice(candidates))
-            pause = clock() + self.pause
+            pause = clock() + self.arrival_interval
             while clock() < pause:
                 yield pause
 
     def start_client(self, name: str) -> StandInClient:
         """Connect one client to the proxy ``name``; the protocols alternate."""
-        self.number += 1
-        wire = ("lines", "nats")[self.number % 2]
+        self.client_count += 1
+        wire = ("lines", "nats")[self.client_count % 2]
         context = self.wires[wire]
         context.address = ("127.0.0.1", self.cluster.ports[name]["front" if wire == "lines" else "nats"])
-        client = StandInClient(context, context.words["open"](self.number, b"tech"))
+        client = StandInClient(context, context.words["open"](self.client_count, b"tech"))
         self.arrivals.append((name, client))
         return client
 
     def harmed_clients(self, faulted: set[str]) -> list[tuple[str, bytes]]:
-        """Clients of proxies outside ``faulted`` that were not served, or cut off without a ``MOVE``.
+        """Return the clients that were not served, or were cut off without a ``MOVE``.
 
-        Returns the proxy's name and what the client got, for each.
+        Clients of the proxies in ``faulted`` are left out. Each is a pair: the proxy's name, the bytes received.
         """
         return [
             (name, bytes(c.got))
@@ -91,5 +96,5 @@
         ]
 
     def close(self) -> None:
-        """End all processes of the cluster."""
+        """Close the cluster."""
         self.cluster.close()
