--- a/arrowseam/lab/scale.py
+++ b/arrowseam/lab/scale.py
@@ -1,8 +1,8 @@
-"""A scale run: processes of simulated members beside real proxies under traffic, with faults, and its checks.
+"""A scale run: simulated members beside real proxies under traffic, with faults, and the checks on it.
 
-It owns the processes it starts and ends them by their ids, whatever comes. The checks read only what comes
-out: the reports of the simulated processes, the control of real proxies, what clients got. It must never use
-more than half of the memory or start what by its estimate would not fit.
+All started processes are ended by their ids, also after an error or an interrupt. The checks use only what is
+visible from outside: the reports of the simulated processes, the control of real proxies, the bytes that
+clients received. A run whose estimate exceeds half of the available memory is refused before anything starts.
 """
 
 from __future__ import annotations
@@ -33,34 +33,37 @@
 from arrowseam.net.clock import MS, SECOND, clock
 from arrowseam.net.task import Coroutine
 
-HELD_DEAD = 3.0  # seconds after the last fault within which no view may hold a reachable member dead
+FALSE_DEAD_MAX = 3.0  # seconds after the last fault; later, no view may show a reachable member as dead
 START_SETTLE = 60.0  # seconds after a start of all members at once within which all views must be equal
-PROGRESS_INTERVAL = 3.0  # seconds between two lines of progress
-VISITS = 8.0  # clients a second; each stays connected
+PROGRESS_INTERVAL = 3.0  # seconds between progress lines
+CLIENTS_PER_SECOND = 8.0  # each client stays connected
 
 
 class Run:
-    """One scale run; ``close`` ends all that it started. ``told`` hears of its progress."""
+    """One scale run; ``close`` ends all processes that it started. ``on_progress`` gets lines of progress."""
 
-    def __init__(self, plan: Plan, folder: Path, told: Callable[[str], None] = lambda _: None) -> None:
+    def __init__(self, plan: Plan, folder: Path, on_progress: Callable[[str], None] = lambda _: None) -> None:
         """Raises PlanError."""
-        self.needs = check(plan, machine())
-        self.plan, self.folder, self.told = plan, folder, told
+        self.estimate = check(plan, machine())
+        self.plan, self.folder, self.on_progress = plan, folder, on_progress
         self.rnd = random.Random(plan.seed)
         self.zones = [f"z{z}" for z in range(plan.zones)] if plan.zones > 1 else [""]
-        self.table = list(zip(self.zones, plan.sizes())) if plan.zones > 1 else []
+        self.zone_sizes = list(zip(self.zones, plan.sizes())) if plan.zones > 1 else []
         self.hosts: list[SimulatedProcess] = []
         self.measurements = Measurements()
         self.faults = FaultInjector(self)
-        self.real_digest: dict[str, tuple[int, str]] = {}
-        self.running: dict[str, int] = {}  # name -> zone, of those that run, also where they stand still
-        self.marks: dict[int, int] = dict.fromkeys(range(plan.zones), 0)  # of the names that run, by zone
-        self.open = 0  # since when every way is open and nobody stands still; 0: not so
+        self.real_digests: dict[str, tuple[int, str]] = {}
+        self.running: dict[str, int] = {}  # name -> zone of members that run, stopped ones (SIGSTOP) included
+        # Zone -> sum of the name fingerprints of its running members.
+        self.name_sums: dict[int, int] = dict.fromkeys(range(plan.zones), 0)
+        self.reachable_since = 0  # since when no link is cut and no process is stopped; 0 during such a fault
         self.began = clock()
-        self.broken: dict[str, None] = {}
+        self.violations: dict[str, None] = {}  # in the order found, each once
         self.phase: Phase | None = None
-        self.changed = 0  # when a fault last began or ended
-        self.traffic = TrafficCluster(folder, plan.real, seed=plan.seed, fleet=False, visits=VISITS)
+        self.changed_at = 0  # when a fault last began or ended
+        self.traffic = TrafficCluster(
+            folder, plan.real, seed=plan.seed, fleet=False, visits=CLIENTS_PER_SECOND
+        )
         try:
             self._prepare()
         except BaseException:
@@ -69,12 +72,12 @@
 
     @property
     def now(self) -> float:
-        """Seconds since the run's beginning."""
+        """Seconds since the beginning of the run."""
         return (clock() - self.began) / SECOND
 
     def report_violation(self, text: str) -> None:
-        """Record a broken promise, once."""
-        self.broken.setdefault(text)
+        """Record a violation, once."""
+        self.violations.setdefault(text)
 
     # --- setting up ---
 
@@ -85,27 +88,27 @@
         self.zone_of: dict[str, int] = dict.fromkeys(cluster.names, 0)
         self.host_of: dict[str, SimulatedProcess] = {}
         self._start_simulated_processes()
-        firsts: dict[int, list[str]] = {}
+        first_members: dict[int, list[str]] = {}
         for host in self.hosts:
-            firsts.setdefault(host.zone, []).append(host.names[0])
+            first_members.setdefault(host.zone, []).append(host.names[0])
         seeds = {
-            zone: [*names[:3], *(n[0] for z, n in firsts.items() if z != zone)][:6]
-            for zone, names in firsts.items()
+            zone: [*names[:3], *(n[0] for z, n in first_members.items() if z != zone)][:6]
+            for zone, names in first_members.items()
         }
         self.voters = [h.names[0] for h in self.hosts][:5] if plan.agent else []
-        voters = {name: _text(self.addresses[name]) for name in self.voters}
+        voters = {name: _address_text(self.addresses[name]) for name in self.voters}
         wall = time.time_ns() // 1000
-        born = {name: (wall, secrets.randbits(62)) for name in self.host_of} if plan.standing else {}
+        identities = {name: (wall, secrets.randbits(62)) for name in self.host_of} if plan.standing else {}
         for host in self.hosts:
-            self._set_up_process(host, seeds, voters, born)
+            self._set_up_process(host, seeds, voters, identities)
         for index, name in enumerate(cluster.names):
             self._configure_proxy(index, name, seeds[0], voters)
         cluster.until(lambda: all(host.ready or host.failed for host in self.hosts), 30 + len(self.hosts))
         if failed := [host.failed for host in self.hosts if host.failed]:
-            raise OSError(f"a hollow process could not begin: {failed[0]}")
+            raise OSError(f"a process of simulated members did not start: {failed[0]}")
 
     def _start_simulated_processes(self) -> None:
-        """Start the processes, and give each member its zone and its address."""
+        """Start the processes, and assign each member its zone and its address."""
         cluster = self.traffic.cluster
         zones = enumerate(assign_members(self.plan))
         assigned = [(zone, names) for zone, hosts in zones for names in hosts if names]
@@ -128,9 +131,9 @@
         host: SimulatedProcess,
         seeds: dict[int, list[str]],
         voters: dict[str, str],
-        born: dict[str, tuple[int, int]],
+        identities: dict[str, tuple[int, int]],
     ) -> None:
-        """Tell a process its members; ``born``: start time and nonce of members that begin established."""
+        """Configure a process; ``identities``: start time and nonce of members that start with full views."""
         plan = self.plan
         settings = {
             "cluster": "scale",
@@ -139,104 +142,109 @@
             "configured_members": plan.members,
         }
         zone = {"zone": self.zones[host.zone]} if plan.zones > 1 else {}
-        known = self._known_abroad(host.zone, list(seeds), born)
+        known = self._known_in_other_zones(host.zone, list(seeds), identities)
         stand = [
-            {"name": n, "started_at": life, "nonce": nonce, "incarnation": 0,
+            {"name": n, "started_at": start_time, "nonce": nonce, "incarnation": 0,
              "host": self.addresses[n][0], "port": self.port}
             | ({"zone": self.zones[self.zone_of[n]]} if plan.zones > 1 else {})
-            for n, (life, nonce) in born.items() if self.zone_of[n] == host.zone or n in known
+            for n, (start_time, nonce) in identities.items() if self.zone_of[n] == host.zone or n in known
         ]  # fmt: skip
         members = [
             {"name": n, "host": self.addresses[n][0], "port": self.port,
              "seeds": [self.addresses[s] for s in seeds[host.zone] if s != n]}
-            | zone | (dict(zip(("life", "nonce"), born[n])) if born else {})
+            | zone | (dict(zip(("life", "nonce"), identities[n])) if identities else {})
             for n in host.names
         ]  # fmt: skip
-        host.send(do="set up", view=plan.view, zones=self.table, settings=settings, look_ms=500,
+        host.send(do="set up", view=plan.view, zones=self.zone_sizes, settings=settings, look_ms=500,
                   voters=voters, stand=stand, members=members)  # fmt: skip
 
-    def _known_abroad(self, zone: int, zones: list[int], born: dict[str, tuple[int, int]]) -> set[str]:
-        """Return a few established members of each other zone."""
+    def _known_in_other_zones(
+        self, zone: int, zones: list[int], identities: dict[str, tuple[int, int]]
+    ) -> set[str]:
+        """Return a few members of each other zone that this zone knows from the start."""
         known: set[str] = set()
-        for other in zones if born else ():
+        for other in zones if identities else ():
             if other != zone:
-                members = [name for name in born if self.zone_of[name] == other]
-                known.update(self.rnd.sample(members, min(3, len(born))))
+                members = [name for name in identities if self.zone_of[name] == other]
+                known.update(self.rnd.sample(members, min(3, len(identities))))
         return known
 
     def _configure_proxy(self, index: int, name: str, seeds: list[str], voters: dict[str, str]) -> None:
-        """Put the run's settings into the files of a real proxy."""
+        """Write the run's settings into the configuration and the operator file of a real proxy."""
         plan, path = self.plan, self.folder / f"{name}.json"
         doc = json.loads(path.read_text())
         doc["settings"] |= {"balancers": plan.members, "me": index}
-        # One proxy of so many may send next to nothing to servers that warm up: here they are soon warm.
+        # A proxy that is one of so many may send next to nothing to servers in warm-up, so warm-up is short.
         doc["settings"]["invariants"] = doc["settings"]["invariants"] | {"warm_up": 100_000}
         doc["limits"]["sockets"] = 8_000
         path.write_text(json.dumps(doc))
-        fleet: dict[str, Any] = {
-            "name": "scale", "listen": _text(self.addresses[name]),
-            "seeds": [_text(self.addresses[s]) for s in seeds],
+        membership: dict[str, Any] = {
+            "name": "scale", "listen": _address_text(self.addresses[name]),
+            "seeds": [_address_text(self.addresses[s]) for s in seeds],
             "period_ms": plan.period_ms, "timeout_ms": plan.period_ms // 3,
         }  # fmt: skip
         if plan.zones > 1:
-            fleet |= {"zone": self.zones[0], "zones": dict(self.table)}
-        lines = [f"fleet({', '.join(f'{k} = {json.dumps(v)}' for k, v in fleet.items())})"]
+            membership |= {"zone": self.zones[0], "zones": dict(self.zone_sizes)}
+        lines = [f"fleet({', '.join(f'{k} = {json.dumps(v)}' for k, v in membership.items())})"]
         if voters:
             lines.append(f"agree(voters = {json.dumps(voters)})")
         with (self.folder / f"{name}.star").open("a") as file:
             file.write("\n" + "\n".join(lines) + "\n")
 
     def close(self) -> None:
-        """End every process, by its id, whatever state it is in."""
+        """End every process by its id, in whatever state it is."""
         for host in self.hosts:
             host.dead = True
             host.close()
         self.traffic.close()
 
-    # --- who runs ---
+    # --- running members ---
 
     def _mark_started(self, names: Iterable[str]) -> None:
         for name in names:
             if name not in self.running:
                 self.running[name] = self.zone_of[name]
-                self.marks[self.zone_of[name]] += fingerprint("name", name)
+                self.name_sums[self.zone_of[name]] += fingerprint("name", name)
 
     def mark_ended(self, names: Iterable[str]) -> None:
-        """Take note that these members do not run any more."""
+        """Record that these members no longer run."""
         for name in names:
             if name in self.running:
                 del self.running[name]
-                self.marks[self.zone_of[name]] -= fingerprint("name", name)
+                self.name_sums[self.zone_of[name]] -= fingerprint("name", name)
 
-    def command(self, what: str, names: Iterable[str], **more: Any) -> None:
-        """Start, end or mute members, each at its host."""
+    def command(self, what: str, names: Iterable[str], **fields: Any) -> None:
+        """Send a command (start, end or mute) to the processes of these members."""
         names = list(names)
         for host in self.hosts:
             ours = [name for name in names if self.host_of.get(name) is host]
             if ours and not host.dead:
-                host.send(do=what, who=ours, **more)
+                host.send(do=what, who=ours, **fields)
         (self._mark_started if what == "start" else self.mark_ended)(names)
-        self.changed = clock()
+        self.changed_at = clock()
 
     # --- the checks ---
 
     def on_view(self, host: SimulatedProcess) -> None:
-        """Check, on a report of a process, that no member that is alive and reachable is held dead."""
-        if self.open and host.looked_at > self.open + HELD_DEAD * SECOND:
+        """Check on each report of a process that no running, reachable member is shown as dead."""
+        if self.reachable_since and host.looked_at > self.reachable_since + FALSE_DEAD_MAX * SECOND:
             for name in host.held:
-                if name in self.running:  # once for each, whoever holds it so
+                if name in self.running:  # reported once for each member, however many views show it
                     self.report_violation(
-                        f"{name} runs and is held dead {HELD_DEAD:g} s after the last fault"
+                        f"{name} is running but shown as dead {FALSE_DEAD_MAX:g} s after the last fault"
                     )
 
-    def equal(self) -> bool:
-        """Whether each hollow member holds just those that run, none suspected, with one digest a zone, and
-        each real proxy has that digest; by what was said since the last change."""
+    def views_equal(self) -> bool:
+        """Whether all views are equal, by the reports since the last change.
+
+        Each simulated member must see exactly the running members, none suspected, with one digest per zone;
+        each real proxy must have that digest.
+        """
         by_zone: dict[int, set[str]] = {}
         for host in self.hosts:
             if host.dead:
                 continue
-            if host.looked_at <= self.changed:
+            if host.looked_at <= self.changed_at:
                 return False
             by_zone.setdefault(host.zone, set()).update(host.groups)
         for zone, groups in by_zone.items():
@@ -244,21 +252,21 @@
                 return False
             for group in groups:
                 _, digest, names, suspected = group.split("|")
-                if suspected != "0" or int(names, 16) != self.marks[zone] & ((1 << 64) - 1):
+                if suspected != "0" or int(names, 16) != self.name_sums[zone] & ((1 << 64) - 1):
                     return False
                 if zone == 0 and any(
-                    self.real_digest.get(name, (0, ""))[0] <= self.changed
-                    or self.real_digest[name][1] != digest
+                    self.real_digests.get(name, (0, ""))[0] <= self.changed_at
+                    or self.real_digests[name][1] != digest
                     for name in self.traffic.cluster.processes
                 ):
                     return False
         return True
 
-    def _held(self, names: list[str]) -> bool:
-        """Whether all hollow members of their zone hold these for ended or dead."""
+    def _ends_known(self, names: list[str]) -> bool:
+        """Whether all simulated members of their zone see these as ended or dead."""
         for zone in {self.zone_of[name] for name in names}:
             hosts = [h for h in self.hosts if h.zone == zone and not h.dead and h.groups]
-            if any(h.looked_at <= self.changed for h in hosts):
+            if any(h.looked_at <= self.changed_at for h in hosts):
                 return False
             count = sum(sum(h.groups.values()) for h in hosts)
             ours = [name for name in names if self.zone_of[name] == zone]
@@ -267,34 +275,34 @@
         return True
 
     def _poll(self) -> Coroutine[None]:
-        """The real proxies' control, each second; of their view only their own row's digest is taken."""
+        """Poll the control of each real proxy every second; the digest is that of the proxy's own row."""
         while True:
             began = clock()
             for name in list(self.traffic.cluster.processes):
                 process = self.traffic.cluster.processes[name]
-                asked = [
+                replies = [
                     self.traffic.cluster.start_control_call(name, words) for words in ("counters", "fleet")
                 ]
                 due = clock() + 5 * SECOND
-                while any(a() is None for a in asked) and clock() < due:
+                while any(reply() is None for reply in replies) and clock() < due:
                     yield clock() + 20 * MS
-                figures = {
+                metrics = {
                     key.removeprefix("edge.fleet."): int(value.partition("|")[0])
-                    for key, _, value in (row.partition(":") for row in (asked[0]() or "").splitlines())
+                    for key, _, value in (row.partition(":") for row in (replies[0]() or "").splitlines())
                     if key.startswith("edge.fleet.") and value.partition("|")[0].lstrip("-").isdigit()
                 }
-                rows = [json.loads(row) for row in (asked[1]() or "").splitlines() if row.startswith("{")]
+                rows = [json.loads(row) for row in (replies[1]() or "").splitlines() if row.startswith("{")]
                 own = next((row for row in rows if row.get("name") == name), None)
-                if figures:
-                    row = clock(), figures, processor_seconds(process.pid)
+                if metrics:
+                    row = clock(), metrics, processor_seconds(process.pid)
                     self.measurements.real_rows.setdefault(name, []).append(row)
                 if own is not None:
-                    self.real_digest[name] = began, own["digest"] or ""
-                if self.open and began > self.open + HELD_DEAD * SECOND:
+                    self.real_digests[name] = began, own["digest"] or ""
+                if self.reachable_since and began > self.reachable_since + FALSE_DEAD_MAX * SECOND:
                     for row in rows:
                         if row.get("name") in self.running and row.get("state") in ("dead", "gone", "left"):
                             self.report_violation(
-                                f"{row['name']} runs and is held {row['state']} by {name}, real"
+                                f"{row['name']} is running but {row['state']} in the view of {name}"
                             )
             pause = max(began + SECOND, clock() + 50 * MS)
             while clock() < pause:
@@ -303,7 +311,7 @@
     # --- the phases ---
 
     def wait(self, seconds: float) -> None:
-        """Run on for so long; raises OSError where a process of simulated members fails."""
+        """Run on for this long; raises OSError if a process of simulated members fails."""
         end = self.now + seconds
         while self.now < end:
             self.traffic.cluster.run(min(1.0, end - self.now))
@@ -311,9 +319,9 @@
 
     def _progress(self) -> None:
         if self.failed():
-            raise OSError(f"a hollow process failed: {self.failed()}")
-        if self.now - self.last_told >= PROGRESS_INTERVAL and self.phase is not None:
-            self.last_told = self.now
+            raise OSError(f"a process of simulated members failed: {self.failed()}")
+        if self.now - self.last_progress >= PROGRESS_INTERVAL and self.phase is not None:
+            self.last_progress = self.now
             groups: dict[str, int] = {}
             for host in self.hosts:
                 if not host.dead:
@@ -324,31 +332,34 @@
                 for zone in self.zones
             )
             late = max((clock() - h.looked_at) / SECOND for h in self.hosts if not h.dead)
-            self.told(
-                f"{self.now:5.0f} s  {self.phase.fault}: {most} of {sum(groups.values())} hollow members "
-                f"hold the commonest view of their zone; the oldest report is {late:.1f} s old"
+            self.on_progress(
+                f"{self.now:5.0f} s  {self.phase.fault}: {most} of {sum(groups.values())} simulated members "
+                f"have the most common view of their zone; the oldest report is {late:.1f} s old"
             )
 
-    last_told = 0.0
+    last_progress = 0.0
 
     def failed(self) -> str:
-        """Return why a process of simulated members has failed, or nothing."""
+        """Return why a process of simulated members has failed, or an empty text."""
         return next((h.failed for h in self.hosts if h.failed and not h.dead), "")
 
-    def _play(self, fault: str, settle: float, act: Callable[[Phase], None]) -> None:
-        """One phase: the fault, at least ``seconds``, and until views are equal or ``settle`` is over."""
+    def _play_phase(self, fault: str, settle: float, act: Callable[[Phase], None]) -> None:
+        """Play one phase: the fault, then until views are equal or ``settle`` seconds have passed.
+
+        It takes at least ``plan.seconds``.
+        """
         phase = self.phase = Phase(fault, self.now)
-        whole = self._shares_now()
+        counts_before = self._running_proxy_counts()
         act(phase)
         bound = max(phase.ends + settle, phase.begin + self.plan.seconds)
         while self.now < bound:
             self.traffic.cluster.run(0.1)
             self._progress()
-            if phase.equal is None and self.equal():
+            if phase.equal is None and self.views_equal():
                 phase.equal = self.now - phase.ends
-            if phase.ended and phase.known is None and self._held(phase.ended):
+            if phase.ended and phase.known is None and self._ends_known(phase.ended):
                 phase.known = self.now - phase.begin
-            if self.faults.started and phase.whole is None and self._whole(whole):
+            if self.faults.restarted and phase.whole is None and self._counts_restored(counts_before):
                 phase.whole = self.now - phase.ends
             if phase.equal is not None and self.now - phase.begin >= self.plan.seconds:
                 break
@@ -357,50 +368,56 @@
         phase.until = self.now
         samples = [ProcessSamples(len(host.names), host.cpu) for host in self.hosts]
         self.measurements.measure_phase(phase, self.began, self.running, samples)
-        known = "" if phase.known is None else f", known to all in {phase.known:.1f} s"
-        equal = "NOT equal" if phase.equal is None else f"views equal {phase.equal:.1f} s after"
+        known = "" if phase.known is None else f", ends known to all in {phase.known:.1f} s"
+        equal = (
+            "views NOT equal"
+            if phase.equal is None
+            else f"views equal {phase.equal:.1f} s after the last fault"
+        )
         cost = phase.cost
-        self.told(
+        self.on_progress(
             f"{self.now:5.0f} s  {fault} {phase.about}: {equal}{known}; bytes/s median "
             f"{cost.get('bytes_median', 0):.0f}, worst {cost.get('bytes_worst', 0):.0f}, "
             f"worst second {cost.get('bytes_peak', 0):.0f}"
         )
         self.phases.append(phase)
 
-    def _shares_now(self) -> dict[str, float]:
+    def _running_proxy_counts(self) -> dict[str, float]:
         counts = self.measurements.proxy_counts()
         return {name: count for name, count in counts.items() if name in self.running}
 
-    def _whole(self, before: dict[str, float]) -> bool:
-        """Whether all that started are told no more than the others were."""
-        usual = max((told for name, told in before.items() if name not in self.faults.started), default=0.0)
+    def _counts_restored(self, before: dict[str, float]) -> bool:
+        """Whether the proxy counts of restarted members are no more than those of the others before."""
+        usual = max(
+            (count for name, count in before.items() if name not in self.faults.restarted), default=0.0
+        )
         return all(
-            self.measurements.costs.get(name) and self.measurements.costs[name][-1][0] > self.changed
+            self.measurements.costs.get(name) and self.measurements.costs[name][-1][0] > self.changed_at
             and self.measurements.costs[name][-1][7] <= usual * 1.01
-            for name in self.faults.started
+            for name in self.faults.restarted
         )  # fmt: skip
 
     # --- the run ---
 
     def play(self) -> Record:
-        """Play all phases and judge them; a run that fails midway is judged as far as it came."""
+        """Play all phases and judge them; a run that fails midway is judged up to that point."""
         plan, cluster = self.plan, self.traffic.cluster
         self.phases: list[Phase] = []
         cluster.start()
         cluster.loop.start_task(self._poll(), "control")
-        self.began, self.last_told = clock(), 0.0
+        self.began, self.last_progress = clock(), 0.0
         try:
-            self._play("standing" if plan.standing else "start", START_SETTLE, self._begin)
+            self._play_phase("standing" if plan.standing else "start", START_SETTLE, self._start_members)
             cluster.loop.start_task(self.traffic.generate_clients(), "crowd")
             for fault in plan.faults:
-                self._play(fault, plan.settle, self.faults.inject)
-            self.traffic.avoided = set(cluster.names)  # who has come is answered before the judging
+                self._play_phase(fault, plan.settle, self.faults.inject)
+            self.traffic.avoided = set(cluster.names)  # clients that have arrived get their replies
             cluster.run(2.0)
         except (OSError, TimeoutError) as error:
-            self.report_violation(f"not played to its end: {error}")
+            self.report_violation(f"run not completed: {error}")
         return self._judge()
 
-    def _begin(self, phase: Phase) -> None:
+    def _start_members(self, phase: Phase) -> None:
         plan, names = self.plan, list(self.host_of)
         phase.about = f"{plan.members} within {plan.spread:g} s" if plan.spread else f"{plan.members} at once"
         self._mark_started(self.traffic.cluster.names)
@@ -414,13 +431,15 @@
             self.wait(3.0)
             first = self.voters[0]
             self.host_of[first].send(do="reset", who=[first])
-        self.faults.started = []
-        phase.ends, self.open = self.now, 0
+        self.faults.restarted = []
+        phase.ends, self.reachable_since = self.now, 0
 
     def _judge(self) -> Record:
         cluster, plan = self.traffic.cluster, self.plan
-        for name, got in self.traffic.harmed_clients(set()):
-            self.report_violation(f"a client of {name} got {got[:60]!r}")
+        for name, received in self.traffic.harmed_clients(set()):
+            self.report_violation(
+                f"a client of {name} was not served or was cut off; it received {received[:60]!r}"
+            )
         for name in cluster.names:
             text = cluster.log(name) if (self.folder / f"{name}.log").exists() else ""
             if "Traceback" in text or "task.failed" in text:
@@ -430,32 +449,34 @@
                 "task.failed" in (text := (self.folder / f"hollow{host.number}.log").read_text())
                 or "Trace" in text
             ):
-                self.report_violation(f"hollow process {host.number}: an exception in its log")
+                self.report_violation(f"process {host.number} of simulated members: an exception in its log")
         sums = list(self.measurements.share_sums())
         share = max((s for _, s in sums), default=0.0)
         if share > 1.0 + 1e-6:
-            self.report_violation(f"the shares of all that ran added up to {share:.3f}")
-        came = self.traffic.arrivals
-        said = ["standing members begin with the records of all others" if plan.standing else ""]
+            self.report_violation(f"the shares of all running members added up to {share:.3f}")
+        arrivals = self.traffic.arrivals
+        notes = ["simulated members start with the records of all others" if plan.standing else ""]
         if plan.period_ms != PERIOD_MS:
-            said.append(f"the period is stretched: {plan.period_ms} ms in place of {PERIOD_MS}")
+            notes.append(f"the probe period is stretched: {plan.period_ms} ms instead of {PERIOD_MS} ms")
         if "restarts" in plan.faults:
-            said.append("restarts: an hour's share of 830 a day of 6,500, in one phase: compressed")
+            notes.append(
+                "restarts: those of an hour, at 830 a day among 6,500 members, compressed into one phase"
+            )
         if plan.seconds < 60:
-            said.append(f"rates are over {plan.seconds:g} s, not 60")
+            notes.append(f"rates are over {plan.seconds:g} s instead of 60 s")
         resident = sum(max((row[3] for row in h.cpu), default=0) for h in self.hosts) / 1024
         return Record(
             kind="scale",
             plan=asdict(plan),
             machine=_machine_row(),
             began=datetime.now(UTC).isoformat(timespec="seconds"),
-            said=[text for text in said if text],
+            said=[text for text in notes if text],
             phases=[asdict(phase) for phase in self.phases],
             seconds=self.measurements.seconds(self.began, sums),
             share=share,
             memory_mib=resident,
-            clients={"came": len(came), "up": sum(c.has("up") for _, c in came)},
-            broken=list(self.broken),
+            clients={"came": len(arrivals), "up": sum(c.has("up") for _, c in arrivals)},
+            broken=list(self.violations),
         )
 
 
@@ -465,7 +486,7 @@
             "system": platform.release()}  # fmt: skip
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -473,22 +494,22 @@
     raise KeyboardInterrupt
 
 
-def play(plan: Plan, out: Path | None = None, told: Callable[[str], None] = lambda _: None) -> Record:
-    """One run from its beginning to its end; raises PlanError before anything is started."""
+def play(plan: Plan, out: Path | None = None, on_progress: Callable[[str], None] = lambda _: None) -> Record:
+    """Play one run; raises PlanError before anything is started."""
     check(plan, machine())
     with tempfile.TemporaryDirectory() as own:
         folder = Path(own)
-        before = {number: signal.signal(number, _interrupted) for number in (signal.SIGTERM, signal.SIGINT)}
+        handlers = {number: signal.signal(number, _interrupted) for number in (signal.SIGTERM, signal.SIGINT)}
         run: Run | None = None
         try:
-            run = Run(plan, folder, told)
+            run = Run(plan, folder, on_progress)
             record = run.play()
         finally:
-            for number in before:
-                signal.signal(number, signal.SIG_IGN)  # the ending is not interrupted
+            for number in handlers:
+                signal.signal(number, signal.SIG_IGN)  # a second signal must not interrupt close()
             if run is not None:
                 run.close()
-            for number, handler in before.items():
+            for number, handler in handlers.items():
                 signal.signal(number, handler)
             if out is not None:
                 out.mkdir(parents=True, exist_ok=True)
--- a/arrowseam/lab/scale_plan.py
+++ b/arrowseam/lab/scale_plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is to do, and whether it fits this machine. It starts nothing."""
+"""The plan of a scale run, and the check that it fits this machine."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ScaleFault(StrEnum):
-    """A fault of a scale run, by the word that the command takes."""
+    """A fault of a scale run; the value is its word in ``--faults``."""
 
     REST = "rest"
     RESTART = "restart"
@@ -37,51 +37,51 @@
     ScaleFault.STOP: 10.0,
 }  # seconds that a fault lasts
 PROCESSES_MAX = 300
-HOST_MIB, REAL_MIB = 32, 40  # of a process, measured
-RECORD_KIB = 2.4  # of a record in a view, with what belongs to it; measured at 500 and 1,000: 2.1 to 2.3
-STREAM_FDS = 34  # descriptors of a member at most: two, and 16 streams each way
-REST_CPU = 0.0025  # of a core: a member at rest at the true period; measured at 100: 0.0019
+HOST_MIB, REAL_MIB = 32, 40  # measured memory of a simulated process, and of a real proxy
+RECORD_KIB = 2.4  # memory of a record in a view; measured at 500 and 1,000 members: 2.1 to 2.3
+STREAM_FDS = 34  # maximum descriptors of a member: two sockets, and 16 streams in each direction
+REST_CPU = 0.0025  # cores of an idle member at PERIOD_MS; measured with 100 members: 0.0019
 
 
 class PlanError(ArrowseamError):
-    """A plan does not fit this machine, or contradicts itself; the message is one line with the figure."""
+    """A plan that does not fit this machine or is inconsistent; the message is one line with the figure."""
 
 
 @dataclass(frozen=True)
 class Plan:
     """What a scale run does; its fields are keys of ``record.json``."""
 
-    members: int  # in all, the real ones too
+    members: int  # in total, real ones included
     real: int = 2
     zones: int = 1
     faults: tuple[str, ...] = ("rest",)
-    seconds: float = 60.0  # of each phase, at least
+    seconds: float = 60.0  # minimum duration of each phase
     period_ms: int = PERIOD_MS
     standing: bool = False
     agent: bool = False
     seed: int = 1
     per_host: int = 50
-    view: str = "arrowseam.membership.view:ClusterView"  # tests name a mutant in its place
-    spans: dict[str, float] = field(default_factory=dict)  # of faults, in place of SPAN
+    view: str = "arrowseam.membership.view:ClusterView"  # tests substitute a mutant
+    spans: dict[str, float] = field(default_factory=dict)  # overrides of SPAN
     settle: float = SETTLE
-    spread: float = 0.0  # seconds over which the first start of all is spread
+    spread: float = 0.0  # seconds over which the first start of all members is spread
 
     def span(self, fault: str) -> float:
-        """Seconds that a fault lasts; 0 where it does not end by itself."""
+        """Return the seconds that a fault lasts; 0 if it does not end by itself."""
         return self.spans.get(fault, SPAN.get(fault, 0.0))
 
     def sizes(self) -> list[int]:
-        """Members of each zone, as even as can be."""
+        """Return the number of members of each zone, as even as possible."""
         return [self.members // self.zones + (z < self.members % self.zones) for z in range(self.zones)]
 
 
 @dataclass(frozen=True)
 class Machine:
-    """What this machine has to give."""
+    """The resources of a machine."""
 
     cores: int
-    memory_mib: int  # that could be had now
-    descriptors: int  # of a process
+    memory_mib: int  # available now
+    descriptors: int  # limit of a process
 
 
 def machine() -> Machine:
@@ -92,10 +92,10 @@
 
 
 def estimate(plan: Plan) -> dict[str, float]:
-    """Estimate what a run takes: processes, MiB, descriptors of the fullest process, cores at rest."""
+    """Estimate a run's needs: processes, MiB, descriptors of the largest process, cores while idle."""
     hosts = sum(len(part) for part in assign_members(plan))
-    known = max(plan.sizes())
-    records = plan.members * known * RECORD_KIB / 1024
+    zone_members = max(plan.sizes())
+    records = plan.members * zone_members * RECORD_KIB / 1024
     return {
         "processes": hosts + plan.real,
         "MiB": round(hosts * HOST_MIB + plan.real * REAL_MIB + records),
@@ -105,33 +105,33 @@
 
 
 def check(plan: Plan, on: Machine) -> dict[str, float]:
-    """Return the estimate; raises PlanError, with the figure, where the plan does not fit the machine."""
+    """Return the estimate; raises PlanError with the figure if the plan does not fit the machine."""
     if not 2 <= plan.zones * 2 <= plan.members + plan.zones or plan.real > plan.sizes()[0]:
         raise PlanError(
-            f"{plan.members} members, {plan.real} of them real, do not go into {plan.zones} zones"
+            f"{plan.members} members, {plan.real} of them real, do not fit into {plan.zones} zones"
         )
     if unknown := [f for f in plan.faults if f not in FAULTS]:
-        raise PlanError(f"no fault is called {unknown[0]!r}; there are {', '.join(FAULTS)}")
+        raise PlanError(f"unknown fault {unknown[0]!r}; known: {', '.join(FAULTS)}")
     if "leader" in plan.faults and not plan.agent:
-        raise PlanError("a leader takes --agent")
+        raise PlanError("the fault leader requires --agent")
     needs = estimate(plan)
     if needs["processes"] > PROCESSES_MAX:
         raise PlanError(f"{needs['processes']:.0f} processes; at most {PROCESSES_MAX}")
     if needs["MiB"] > on.memory_mib / 2:
-        raise PlanError(f"some {needs['MiB']:.0f} MiB; at most half of the {on.memory_mib} MiB there are")
+        raise PlanError(f"about {needs['MiB']:.0f} MiB; at most half of the {on.memory_mib} MiB available")
     if needs["descriptors"] > on.descriptors:
         raise PlanError(f"{needs['descriptors']:.0f} descriptors in a process; the limit is {on.descriptors}")
     if needs["cores"] > 0.75 * on.cores:
-        fits = int(plan.members * REST_CPU * PERIOD_MS / (0.75 * on.cores)) + 1
+        fitting_period_ms = int(plan.members * REST_CPU * PERIOD_MS / (0.75 * on.cores)) + 1
         raise PlanError(
-            f"some {needs['cores']:.1f} cores at rest; at most three quarters of {on.cores}: "
-            f"--period-ms {fits} would fit, stretched"
+            f"about {needs['cores']:.1f} cores while idle; at most three quarters of {on.cores}: "
+            f"a stretched period, --period-ms {fitting_period_ms}, would fit"
         )
     return needs
 
 
 def assign_members(plan: Plan) -> list[list[list[str]]]:
-    """Names of the simulated members by zone and process; the real ones are in the first zone."""
+    """Return the names of the simulated members by zone and process; real ones are in the first zone."""
     found, number = [], 0
     for zone, count in enumerate(plan.sizes()):
         count -= plan.real if zone == 0 else 0
--- a/arrowseam/lab/traffic.py
+++ b/arrowseam/lab/traffic.py
@@ -87,7 +87,7 @@
     def harmed_clients(self, faulted: set[str]) -> list[tuple[str, bytes]]:
         """Return the clients that were not served, or were cut off without a ``MOVE``.
 
-        Clients of the proxies in ``faulted`` are left out. Each is a pair: the proxy's name, the bytes received.
+        Clients of the proxies in ``faulted`` are left out. Each is a pair: proxy name and bytes received.
         """
         return [
             (name, bytes(c.got))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory's commands: schedules as files, plays on real processes, what is left of them."""
+"""The ``lab`` commands: schedule files, plays on real processes, their records and pages."""
 
 from __future__ import annotations
 
@@ -15,41 +15,43 @@
 from arrowseam.lab.schedules import Schedule, Step
 from arrowseam.net.clock import SECOND
 
-GOOD = 'fleet(members = 3, seed = 4)\nat(0.2, "stall", ["n1"], span = 0.5)\n'
+VALID = 'fleet(members = 3, seed = 4)\nat(0.2, "stall", ["n1"], span = 0.5)\n'
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("at(1, 'kill', ['n0'])", r"s.star:1: fleet\(members = ...\) has to come first"),
         ("", r"it says no fleet"),
         ("fleet(members = 0)", "fleet: members: 0 is not in 1 to 64"),
         ("fleet(members = 3)\nfleet(members = 3)", "s.star:2: fleet: called twice"),
         ("fleet(members = 'x')", "fleet: members: not a number: 'x'"),
-        (GOOD + "at(1, 'explode', ['n0'])", "no fault is called 'explode'; there are all, "),
-        (GOOD + "at(1, 'kill', ['n3'])", "'n3' is none of n0 to n2"),
-        (GOOD + "at(1, 'kill', ['n0', 'n1'])", "kill takes one member"),
-        (GOOD + "at(1, 'part')", "part takes some members"),
-        (GOOD + "at(1, 'kill', [3])", "who: names of members"),
-        (GOOD + "at(-1, 'kill', ['n0'])", "at: when: -1 is not in 0 to 600"),
-        (GOOD + "at(1, 'loss', number = float('nan'))", "at: number: not a number"),
-        (GOOD + "at(1, 'cordon', ['n0'], server = 's9')", "'s9' is none of s0 to s2"),
-        (GOOD + "draw(steps = 100000)", "draw: steps: 100000 is not in 1 to 1000"),
-        (GOOD + "def f():\n    for i in range(1000000000):\n        pass\nf()", "has not ended within"),
-        (GOOD + "at(", "s.star:3: "),
+        (VALID + "at(1, 'explode', ['n0'])", "no fault is called 'explode'; there are all, "),
+        (VALID + "at(1, 'kill', ['n3'])", "'n3' is none of n0 to n2"),
+        (VALID + "at(1, 'kill', ['n0', 'n1'])", "kill takes one member"),
+        (VALID + "at(1, 'part')", "part takes some members"),
+        (VALID + "at(1, 'kill', [3])", "who: names of members"),
+        (VALID + "at(-1, 'kill', ['n0'])", "at: when: -1 is not in 0 to 600"),
+        (VALID + "at(1, 'loss', number = float('nan'))", "at: number: not a number"),
+        (VALID + "at(1, 'cordon', ['n0'], server = 's9')", "'s9' is none of s0 to s2"),
+        (VALID + "draw(steps = 100000)", "draw: steps: 100000 is not in 1 to 1000"),
+        (VALID + "def f():\n    for i in range(1000000000):\n        pass\nf()", "has not ended within"),
+        (VALID + "at(", "s.star:3: "),
     ],
 )
-def test_a_bad_schedule_is_refused_in_one_line(tmp_path: Path, monkeypatch, text: str, said: str) -> None:
+def test_an_invalid_schedule_is_refused_in_one_line(
+    tmp_path: Path, monkeypatch, text: str, message: str
+) -> None:
     monkeypatch.setattr(schedule_file, "DEADLINE", 0.5)
     path = tmp_path / "s.star"
     path.write_text(text)
-    with pytest.raises(schedule_file.ScheduleError, match=said) as error:
+    with pytest.raises(schedule_file.ScheduleError, match=message) as error:
         schedule_file.read(path)
     assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(("name", "text"), [("s.json", '{"seed":1}'), ("s.json", "[]"), ("none.star", None)])
-def test_what_is_no_schedule_is_refused_too(tmp_path: Path, name: str, text: str | None) -> None:
+def test_a_file_that_is_not_a_schedule_is_refused(tmp_path: Path, name: str, text: str | None) -> None:
     if text is not None:
         (tmp_path / name).write_text(text)
     result = CliRunner().invoke(main, ["lab", "fleet", str(tmp_path / name)])
@@ -57,20 +59,20 @@
     assert result.output.startswith(f"Error: {name}: ")
 
 
-def test_a_schedule_is_the_same_from_starlark_and_from_json(tmp_path: Path) -> None:
-    (tmp_path / "s.star").write_text(GOOD + "draw(steps = 4, within = 3)")
-    written = schedule_file.read(tmp_path / "s.star")
-    assert written.schedule.steps[0].at <= written.schedule.steps[-1].at
-    assert Step(200_000, "stall", ("n1",), SECOND // 2) in written.schedule.steps
-    (tmp_path / "s.json").write_text(written.schedule.text())
-    assert schedule_file.read(tmp_path / "s.json").schedule == written.schedule
+def test_starlark_and_json_give_the_same_schedule(tmp_path: Path) -> None:
+    (tmp_path / "s.star").write_text(VALID + "draw(steps = 4, within = 3)")
+    from_starlark = schedule_file.read(tmp_path / "s.star")
+    assert from_starlark.schedule.steps[0].at <= from_starlark.schedule.steps[-1].at
+    assert Step(200_000, "stall", ("n1",), SECOND // 2) in from_starlark.schedule.steps
+    (tmp_path / "s.json").write_text(from_starlark.schedule.text())
+    assert schedule_file.read(tmp_path / "s.json").schedule == from_starlark.schedule
     assert fault_kinds.draw(4, 3) == fault_kinds.draw(4, 3) != fault_kinds.draw(5, 3)
 
 
-def test_a_play_is_judged_kept_and_shown(tmp_path: Path) -> None:
-    """Real processes: what the command leaves is what the page shows."""
+def test_a_play_leaves_a_record_and_a_page(tmp_path: Path) -> None:
+    """Plays a schedule on real processes; the page is made from the record that the command leaves."""
     (tmp_path / "s.star").write_text(
-        GOOD + 'at(0.1, "part", ["n0"], span = 2.5)\nat(0.3, "cordon", ["n2"], server = "s1")\n'
+        VALID + 'at(0.1, "part", ["n0"], span = 2.5)\nat(0.3, "cordon", ["n2"], server = "s1")\n'
         'at(2.8, "restart", ["n1"])\n'
     )
     run = CliRunner().invoke(main, ["lab", "fleet", str(tmp_path / "s.star"), "--keep", str(tmp_path / "k")])
@@ -81,20 +83,20 @@
     assert record.settled is not None
     assert record.settled < 10
     assert record.clients["of these up"] > 10
-    held = {state for _, _, state in report.beliefs(record, "n1", "n0")}
-    assert held & {"suspect", "dead"}
-    assert report.beliefs(record, "n1", "n0")[0][2] == "alive"
-    assert len(report.down(record, "n1")) == 1
+    states = {state for _, _, state in report.observed_states(record, "n1", "n0")}
+    assert states & {"suspect", "dead"}
+    assert report.observed_states(record, "n1", "n0")[0][2] == "alive"
+    assert len(report.down_spans(record, "n1")) == 1
     page = CliRunner().invoke(main, ["lab", "report", str(tmp_path / "k")])
     assert page.exit_code == 0, page.output
     text = (tmp_path / "k" / "report.html").read_text()
     assert "<svg" in text
-    assert "No promise broken" in text
+    assert "No violations" in text
     assert "member.suspect" in text
     assert CliRunner().invoke(main, ["lab", "report", str(tmp_path)]).exit_code == 1
 
 
-def test_a_play_of_proxies_that_agree_shows_who_is_out_beside_the_budget(tmp_path: Path) -> None:
+def test_a_play_with_rollouts_shows_the_resources_out_of_service_and_the_budget(tmp_path: Path) -> None:
     (tmp_path / "s.star").write_text(
         'fleet(members = 3)\nat(0.1, "drain", ["n2"], server = "s1")\n'
         'at(0.2, "release", ["n1"], number = 7)\nat(0.5, "stall", ["n0"], span = 0.4)\n'
@@ -106,10 +108,10 @@
     assert max(out for _, what, out, _ in record.outs if what == "server") == 1
     assert max(out for _, what, out, _ in record.outs if what == "proxy") >= 1
     assert CliRunner().invoke(main, ["lab", "report", str(tmp_path / "k")]).exit_code == 0
-    assert "Out, beside what may be" in (tmp_path / "k" / "report.html").read_text()
+    assert "Out of service, and the budget" in (tmp_path / "k" / "report.html").read_text()
 
 
-def test_a_broken_promise_is_an_exit_status_and_stands_on_the_page(tmp_path: Path) -> None:
+def test_the_page_shows_violations_escaped(tmp_path: Path) -> None:
     record = Record(Schedule(1, 2, []).text(), broken=["<n0> holds n1 dead"], ended=1.0)
     (tmp_path / "record.json").write_text(record.text())
     assert CliRunner().invoke(main, ["lab", "report", str(tmp_path)]).exit_code == 0
@@ -118,16 +120,16 @@
     assert "did not become equal" in text
 
 
-def test_a_failing_schedule_is_cut_down_by_command(tmp_path: Path, monkeypatch) -> None:
+def test_shrink_reduces_a_failing_schedule(tmp_path: Path, monkeypatch) -> None:
     names = tuple(f"n{n}" for n in range(3))
     steps = [Step(SECOND, "part", names[:2], 25 * SECOND), Step(2 * SECOND, "loss", (), SECOND, 0.05)]
     path, out = tmp_path / "s.json", tmp_path / "out.json"
     path.write_text(Schedule(2, 5, steps).text())
     words = ["lab", "shrink", str(path), "--out", str(out)]
-    good = CliRunner().invoke(main, words)
-    assert good.exit_code == 1
-    assert "nothing to cut down" in good.output
+    passing = CliRunner().invoke(main, words)
+    assert passing.exit_code == 1
+    assert "nothing to cut down" in passing.output
     monkeypatch.setattr(lab, "Player", partial(lab.Player, view=mutants.DeadNeverRetried))
-    bad = CliRunner().invoke(main, words)
-    assert bad.exit_code == 0, bad.output
+    failing = CliRunner().invoke(main, words)
+    assert failing.exit_code == 0, failing.output
     assert [step["what"] for step in json.loads(out.read_text())["steps"]] == ["part"]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Scale runs: hollow processes beside real proxies on loopback, judged; the virtual clock at size."""
+"""Scale runs: simulated members beside real proxies on loopback; large clusters on the virtual clock."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 BIG = Machine(8, 24_000, 20_000)
 
 
-def test_a_small_run_is_judged_clean_and_leaves_a_record(tmp_path: Path) -> None:
+def test_a_small_run_has_no_violations_and_leaves_a_record(tmp_path: Path) -> None:
     record = scale.play(SMALL, tmp_path)
     assert record.broken == []
     assert [p["fault"] for p in record.phases] == ["start", "restart", "silent"]
@@ -44,67 +44,67 @@
     assert silent["known"] is not None
     assert record.clients["came"] == record.clients["up"] > 0
     assert 0.9 < record.share <= 1.0 + 1e-6
-    assert any("stretched" in text for text in record.said)  # a period that isn't the true one is told
+    assert any("stretched" in text for text in record.said)  # a period other than the default is noted
 
-    kept = json.loads((tmp_path / "run.json").read_text())
-    names = {row["name"] for row in kept["series"]}
+    run_file = json.loads((tmp_path / "run.json").read_text())
+    names = {row["name"] for row in run_file["series"]}
     assert {"fleet.start.bytes_worst", "fleet.silent.known", "fleet.restart.whole"} <= names
-    assert all(row["samples"][0][0] == 30 for row in kept["series"])
+    assert all(row["samples"][0][0] == 30 for row in run_file["series"])
 
     result = CliRunner().invoke(main, ["lab", "report", str(tmp_path)])
     assert result.exit_code == 0, result.output
     page = (tmp_path / "report.html").read_text()
     assert "<svg" in page
-    assert "No promise broken" in page
+    assert "No violations" in page
     assert "1 silent" in page
 
 
-def test_silence_taken_for_an_end_is_told() -> None:
-    """Both sides of a cut take the other's shares: the sum goes over one."""
+def test_silent_members_counted_out_are_a_violation() -> None:
+    """A mutant treats silence as an end: both sides of a cut take the other's shares, more than 1 in all."""
     plan = Plan(
         24, real=0, faults=("cut",), seconds=3.0, period_ms=100, per_host=6, spans={"cut": 5.0},
         view="arrowseam.lab.mutants:SilentCountedOut",
     )  # fmt: skip
     record = scale.play(plan)
     assert record.share > 1.05
-    assert any(text.startswith("the shares of all that ran added up to") for text in record.broken)
+    assert any(text.startswith("the shares of all running members added up to") for text in record.broken)
 
 
-def test_who_does_not_come_back_after_it_stood_still_is_told() -> None:
-    """A hollow process stands still until it is held dead, and what is said of it is let stand."""
+def test_stopped_members_that_do_not_refute_their_death_are_a_violation() -> None:
+    """A process is stopped until its members are held dead; a mutant does not refute that afterwards."""
     plan = Plan(
         24, real=0, faults=("stop",), seconds=3.0, period_ms=100, per_host=6, spans={"stop": 3.5}, settle=4.5,
         view="arrowseam.lab.mutants:NoRefutation",
     )  # fmt: skip
     broken = scale.play(plan).broken
-    assert any("runs and is held dead" in text for text in broken)
+    assert any("is running but shown as dead" in text for text in broken)
     assert any(text.startswith("stop: views differ") for text in broken)
 
 
 @pytest.mark.parametrize(
-    ("plan", "on", "said"),
+    ("plan", "resources", "message"),
     [
         (Plan(2_000, per_host=2), BIG, "processes; at most 300"),
         (Plan(1_000), Machine(8, 1_000, 20_000), "at most half of the 1000 MiB"),
         (Plan(1_000), Machine(8, 24_000, 1_024), "descriptors in a process; the limit is 1024"),
-        (Plan(2_000), Machine(2, 240_000, 20_000), "--period-ms .* would fit, stretched"),
-        (Plan(2_000, faults=("rest", "flood")), BIG, "no fault is called 'flood'"),
-        (Plan(100, faults=("leader",)), BIG, "a leader takes --agent"),
-        (Plan(10, real=11), BIG, "do not go into 1 zones"),
-        (Plan(10, zones=11), BIG, "do not go into 11 zones"),
+        (Plan(2_000), Machine(2, 240_000, 20_000), "a stretched period, --period-ms .*, would fit"),
+        (Plan(2_000, faults=("rest", "flood")), BIG, "unknown fault 'flood'"),
+        (Plan(100, faults=("leader",)), BIG, "the fault leader requires --agent"),
+        (Plan(10, real=11), BIG, "do not fit into 1 zones"),
+        (Plan(10, zones=11), BIG, "do not fit into 11 zones"),
     ],
 )
-def test_what_would_not_fit_is_refused_before_anything_starts(plan: Plan, on: Machine, said: str) -> None:
-    with pytest.raises(PlanError, match=said) as error:
-        scale_plan.check(plan, on)
+def test_a_plan_that_does_not_fit_is_refused(plan: Plan, resources: Machine, message: str) -> None:
+    with pytest.raises(PlanError, match=message) as error:
+        scale_plan.check(plan, resources)
     assert "\n" not in str(error.value)
 
 
-def test_a_stretched_period_that_is_asked_for_fits() -> None:
+def test_a_plan_with_a_stretched_period_fits() -> None:
     scale_plan.check(Plan(500, period_ms=3_000), Machine(2, 24_000, 20_000))
 
 
-def test_the_command_refuses_in_one_line() -> None:
+def test_the_command_refuses_a_plan_in_one_line() -> None:
     result = CliRunner().invoke(main, ["lab", "scale", "--members", "20000", "--per-host", "10"])
     assert result.exit_code == 1
     assert result.output.startswith("Error: ")
@@ -120,19 +120,19 @@
     )  # fmt: skip
     assert run.stdout is not None
     assert run.stdout.readline().startswith("reckoned: ")
-    while "hold the commonest view" not in (line := run.stdout.readline()):
-        assert line, "it ended before it told of its progress"
+    while "have the most common view" not in (line := run.stdout.readline()):
+        assert line, "the run ended without a line of progress"
     children = Path(f"/proc/{run.pid}/task/{run.pid}/children").read_text().split()
-    assert len(children) == 3  # two hollow processes and a proxy
+    assert len(children) == 3  # two processes of simulated members and a proxy
     os.kill(run.pid, number)
-    _, told = run.communicate(timeout=20)
+    _, errors = run.communicate(timeout=20)
     assert run.returncode == 130
-    assert "all that was started has been ended" in told
+    assert "all that was started has been ended" in errors
     assert not [pid for pid in children if Path(f"/proc/{pid}").exists()]
 
 
-def test_an_answer_of_control_is_read_whole_whatever_its_length(tmp_path: Path) -> None:
-    """The view of hundreds of members is longer than what a connection holds at a time."""
+def test_a_long_control_reply_is_read_completely(tmp_path: Path) -> None:
+    """The view of hundreds of members is longer than a connection's buffer."""
     cluster = LocalCluster(tmp_path, 1)
     text = b"x" * 100_000
 
@@ -151,8 +151,8 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_sum_of_shares_that_is_kept_up_is_the_plain_sum(seed: int) -> None:
-    """At every event of drawn schedules: exactly what all that run take, in whole units."""
+def test_the_incremental_sum_of_shares_equals_the_full_sum(seed: int) -> None:
+    """Compared at every event of drawn schedules, exactly, in integer units."""
     player = Player(draw(seed))
     net, watch, looks = player.net, player.net.watch, [0]
 
@@ -170,7 +170,7 @@
     assert looks[0] > 100
 
 
-def test_a_process_that_is_killed_takes_nothing_from_then_on() -> None:
+def test_a_killed_process_has_no_share() -> None:
     net = SimulatedCluster(3, 1)
     for name in net.names:
         net.start(name)
@@ -181,8 +181,8 @@
     assert net.until(net.agreed, 10 * SECOND) is not None
 
 
-def test_members_wake_once_for_each_time_that_is_due() -> None:
-    """A wake that is under way isn't asked for again: at rest there are few events ahead, however long."""
+def test_a_pending_wake_up_is_not_scheduled_again() -> None:
+    """Otherwise the event queue of an idle cluster would grow without bound."""
     net = SimulatedCluster(20, 1)
     for name in net.names:
         net.start(name)
@@ -191,8 +191,8 @@
     assert len(net.events) < 20 * 20
 
 
-def test_6500_members_in_26_zones_stand_and_take_a_cordon_and_an_end(gc_off: None) -> None:
-    """The period is stretched to 3 s and the zones have 250: what is tried here is the number."""
+def test_6500_members_in_26_zones_learn_of_a_cordon_and_of_ended_members(gc_off: None) -> None:
+    """Tests the number of members: the period is stretched to 3 s and zones have only 250 members."""
     settings = MembershipSettings(probe_interval=3 * SECOND, probe_timeout=SECOND)
     net = SimulatedCluster(6_500, 1, settings, zones={f"z{z}": 250 for z in range(26)}, abroad=0)
     net.stand()
@@ -204,18 +204,18 @@
     ours = [p for name, p in net.running.items() if net.zone_of[name] == "z0"]
     assert len(ours) == 237
     known = [name for name in ended if not any(p.view.records[name].is_active for p in ours)]
-    # Each is probed by chance: in the first seven seconds one of ten is probed by nobody.
+    # Probe targets are random: within seven seconds, one member in ten is probed by nobody.
     assert len(known) >= 10
     assert len([name for name, p in net.running.items() if "s1" in p.cordoned]) == 6_487
     assert net.until(net.agreed, 10 * SECOND, 500_000) is not None
-    # A zone has its part: those that have ended among 250 change nobody's but theirs.
+    # Each zone has a fixed part of the budgets: ended members change only the counts of their own zone.
     assert {p.proxy_count.value for name, p in net.running.items() if net.zone_of[name] != "z0"} == {6_500}
     assert 0.99 < net.sum <= net.share <= 1.0
 
 
 @pytest.fixture
 def gc_off() -> Iterator[None]:
-    """It would walk the records of 6,500 views at once, again and again."""
+    """Turn off the garbage collector, which would traverse the records of 6,500 views again and again."""
     gc.disable()
     try:
         yield
