--- a/arrowseam/lab/scale_measurements.py
+++ b/arrowseam/lab/scale_measurements.py
@@ -88,7 +88,7 @@
         phase.real |= self._real_rates(begin, end)
 
     def _member_rates(self, begin: int, end: int, running: Container[str]) -> list[list[float]]:
-        """Return by running member: bytes/s, bytes in the worst second, messages/s, cores, longest event."""
+        """Return by running member: bytes/s, its largest bytes/s, messages/s, cores, longest event ms."""
         rates = []
         for name, rows in self.costs.items():
             within = [row for row in rows if begin < row[0] <= end + SECOND // 2]
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -1,4 +1,4 @@
-"""Drains and releases agreed among several processes, faults between them, traffic on both fronts."""
+"""Drains and releases of several proxies with faults between them, under traffic of both protocols."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
         cluster.until(lambda: cluster.views_agree(cluster.names), 20)
         cluster.until(lambda: cluster.replicated("n0").get("role") == "out", 10)
         assert cluster.control_call("n0", "agree reset").startswith("ACK")
-        cluster.until(lambda: whole(cluster, voters), 15)
+        cluster.until(lambda: cluster_formed(cluster, voters), 15)
         return made[0]
 
     yield make
-    for one in made:
-        one.close()
+    for traffic_cluster in made:
+        traffic_cluster.close()
 
 
-def whole(cluster, voters: int) -> bool:
-    """All voters are in and have said their budgets, and everybody follows."""
+def cluster_formed(cluster, voters: int) -> bool:
+    """Whether all voters are members, their budgets are known, and all proxies have the same entry."""
     rows = [cluster.agreement_rows(name) for name in cluster.processes]
     index = {r[0].get("index") for r in rows if r}
     return (
@@ -58,22 +58,24 @@
     return found[max(found)] if found else {"state": "none", "members": {}}
 
 
-def test_a_server_is_drained_by_all_and_said_to_be_empty(traffic) -> None:
+def test_a_server_is_drained_by_all_proxies_and_reported_as_empty(traffic) -> None:
     t = traffic(5)
     cluster = t.cluster
-    held = [t.start_client(n) for n in cluster.names for _ in range(4)]
-    cluster.until(lambda: all(c.has("up") for c in held), 5)
+    clients = [t.start_client(n) for n in cluster.names for _ in range(4)]
+    cluster.until(lambda: all(c.has("up") for c in clients), 5)
     cluster.loop.start_task(t.generate_clients(), "crowd")
     assert cluster.control_call("n4", "drain s9") == "NAK unknown server s9"
     assert cluster.control_call("n4", "drain s0").startswith("ACK s0 waits")
     assert cluster.control_call("n1", "drain s1").startswith("ACK")
     cluster.until(lambda: all(cluster.replicated(n)["permits"] for n in cluster.names), 4)
-    told = clock()
-    assert [p["name"] for p in cluster.replicated("n2")["permits"]] == ["s0"]  # the other waits for its turn
+    known_at = clock()
+    assert [p["name"] for p in cluster.replicated("n2")["permits"]] == [
+        "s0"
+    ]  # s1 waits: the budget is one server
     cluster.until(lambda: cluster.replicated("n0")["permits"][0]["safe"], 25)
     for wire in t.servers.values():
-        assert not wire[0].live  # so it is empty
-        assert max(wire[0].opened_at) < told + 2_000_000
+        assert not wire[0].live
+        assert max(wire[0].opened_at) < known_at + 2_000_000
     assert cluster.blocking_control_call("n3", "uncordon s0") == ["NAK out by agreement: undrain it"]
     rows = cluster.endpoint_rows
     cluster.set_endpoints(
@@ -91,11 +93,11 @@
     assert t.harmed_clients(set()) == []
 
 
-def test_the_commands_say_what_is_agreed_and_what_is_not(traffic) -> None:
+def test_the_commands_report_accepted_and_rejected_changes(traffic) -> None:
     cluster = traffic(3).cluster
     at = f"--control=127.0.0.1:{cluster.ports['n1']['control']}"
-    good = cluster.run_program("drain", "--zone", "z", at)
-    assert good.returncode == 0 and good.stdout.count("waits for its turn") == 3, good
+    drain = cluster.run_program("drain", "--zone", "z", at)
+    assert drain.returncode == 0 and drain.stdout.count("waits for its turn") == 3, drain
     cluster.until(lambda: any(p["safe"] for p in cluster.replicated("n1")["permits"]), 10)
     status = cluster.run_program("release", "status", at)
     assert status.returncode == 0
@@ -121,16 +123,18 @@
     assert cluster.run_program("drain", "s0", "--control=127.0.0.1:1").returncode == 1
 
 
-def test_settings_are_released_in_waves_halted_anywhere_and_brought_back(traffic) -> None:
+def test_settings_are_released_in_waves_halted_and_rolled_back(traffic) -> None:
     t = traffic(6)
     cluster = t.cluster
     cluster.loop.start_task(t.generate_clients(), "crowd")
-    bad = json.dumps({"settings": {"lanes": [{"name": "tech", "deadline": -1}]}}).encode()
-    assert cluster.control_call("n0", f"release plan settings bytes={len(bad)}", bad).startswith("NAK")
-    good = bundle(1700)
-    words = f"release plan settings bytes={len(good)} soak_s=0.5 patience_s=20 gated=0"
-    assert cluster.control_call("n5", words, good).startswith("ACK release")
-    # Whoever is told that it is done can go on there: its state has it by then, though it is no voter.
+    invalid = json.dumps({"settings": {"lanes": [{"name": "tech", "deadline": -1}]}}).encode()
+    assert cluster.control_call("n0", f"release plan settings bytes={len(invalid)}", invalid).startswith(
+        "NAK"
+    )
+    release_bundle = bundle(1700)
+    words = f"release plan settings bytes={len(release_bundle)} soak_s=0.5 patience_s=20 gated=0"
+    assert cluster.control_call("n5", words, release_bundle).startswith("ACK release")
+    # A proxy that replies ACK has applied the command, even if it is not a voter: the next one works there.
     assert cluster.control_call("n5", "release start").startswith("ACK")
     cluster.until(lambda: release(cluster)["state"] == "done", 30)
     assert set(release(cluster, "n5")["members"].values()) == {"new"}
@@ -138,20 +142,20 @@
     assert len(digests) == 1
     assert "" not in digests
 
-    slow = bundle(1500)
-    words = f"release plan settings bytes={len(slow)} soak_s=2 patience_s=20 gated=0"
-    assert cluster.control_call("n0", words, slow).startswith("ACK release")
+    second = bundle(1500)
+    words = f"release plan settings bytes={len(second)} soak_s=2 patience_s=20 gated=0"
+    assert cluster.control_call("n0", words, second).startswith("ACK release")
     assert cluster.control_call("n0", "release start").startswith("ACK")
     cluster.until(lambda: list(release(cluster)["members"].values()).count("new") == 1, 10)
     assert cluster.control_call("n4", "release halt").startswith("ACK")
-    said = clock()
+    halted_at = clock()
     cluster.until(lambda: all(release(cluster, n)["halted"] for n in cluster.names), 3)
-    assert clock() - said < 2_000_000
+    assert clock() - halted_at < 2_000_000
     cluster.run(3)
     assert list(release(cluster)["members"].values()).count("new") == 1
     assert cluster.control_call("n1", "release back").startswith("ACK")
     cluster.run(1)
-    assert release(cluster)["halted"]  # the halt still holds, also for the way back
+    assert release(cluster)["halted"]  # the halt applies to the rollback too
     cluster.until(lambda: release(cluster)["state"] == "halted", 5)
     assert cluster.control_call("n2", "release resume").startswith("ACK")
     cluster.until(lambda: release(cluster)["state"] == "back", 15)
@@ -161,12 +165,12 @@
     assert t.harmed_clients(set()) == []
 
 
-def test_a_halt_after_a_resume_is_in_force_like_the_first(traffic) -> None:
-    """The second halt was answered ACK, but the mark of the first, which the resume outdid, stayed."""
+def test_a_halt_after_a_resume_is_in_force(traffic) -> None:
+    """A second halt was answered ACK without effect: the mark of the first, older than the resume, stayed."""
     cluster = traffic(3).cluster
-    good = bundle(1700)
-    words = f"release plan settings bytes={len(good)} soak_s=30 patience_s=60 gated=0"
-    assert cluster.control_call("n0", words, good).startswith("ACK")
+    release_bundle = bundle(1700)
+    words = f"release plan settings bytes={len(release_bundle)} soak_s=30 patience_s=60 gated=0"
+    assert cluster.control_call("n0", words, release_bundle).startswith("ACK")
     assert cluster.control_call("n0", "release start").startswith("ACK")
     for _ in range(3):
         cluster.until(lambda: all(release(cluster, n)["state"] == "running" for n in cluster.names), 5)
@@ -177,38 +181,38 @@
         cluster.until(lambda: not any(release(cluster, n)["halted"] for n in cluster.names), 5)
 
 
-def test_a_minority_grants_nothing_and_a_halt_needs_no_quorum(traffic) -> None:
+def test_a_minority_grants_no_permit_and_a_halt_needs_no_quorum(traffic) -> None:
     t = traffic(5)
     cluster = t.cluster
     cluster.network.partition(["n0", "n3"], ["n1", "n2", "n4"])
     cluster.until(lambda: cluster.replicated("n1")["leader"] in ("n1", "n2"), 10)
-    lost = cluster.start_control_call("n3", "drain s0")
+    reply = cluster.start_control_call("n3", "drain s0")
     assert cluster.control_call("n4", "drain s1").startswith("ACK")
     cluster.until(lambda: cluster.replicated("n4")["permits"], 5)
-    cluster.until(lambda: lost() is not None, 12)
-    assert (lost() or "").startswith("NAK not agreed")
+    cluster.until(lambda: reply() is not None, 12)
+    assert (reply() or "").startswith("NAK not agreed")
     assert not cluster.replicated("n3")["permits"]
     cluster.network.heal()
     cluster.until(lambda: [p["name"] for p in cluster.replicated("n3")["permits"]] == ["s1"], 8)
-    good = bundle(1700)
-    words = f"release plan settings bytes={len(good)} soak_s=30 patience_s=60 gated=0"
+    release_bundle = bundle(1700)
+    words = f"release plan settings bytes={len(release_bundle)} soak_s=30 patience_s=60 gated=0"
     cluster.until(lambda: cluster.views_agree(cluster.names), 8)
-    assert cluster.control_call("n0", words, good).startswith("ACK")
+    assert cluster.control_call("n0", words, release_bundle).startswith("ACK")
     assert cluster.control_call("n0", "release start").startswith("ACK")
     cluster.until(lambda: "new" in release(cluster)["members"].values(), 10)
-    cluster.kill(["n0", "n1"])  # no quorum any more
+    cluster.kill(["n0", "n1"])  # the quorum is lost
     t.avoided = {"n0", "n1"}
-    held = t.start_client("n3")
+    client = t.start_client("n3")
     assert cluster.control_call("n3", "release halt").startswith("ACK")
     cluster.until(lambda: all(release(cluster, n)["halted"] for n in ("n2", "n3", "n4")), 3)
-    cluster.until(lambda: held.has("up"), 3)  # serving waits for nothing
+    cluster.until(lambda: client.has("up"), 3)  # clients are served without a quorum
 
 
-def test_restarts_are_released_one_after_the_other_and_nobody_notices(traffic) -> None:
+def test_a_release_of_restarts_harms_no_client(traffic) -> None:
     t = traffic(4, disk=True)
     cluster = t.cluster
-    held = [t.start_client(n) for n in cluster.names for _ in range(3)]
-    cluster.until(lambda: all(c.has("up") for c in held), 5)
+    clients = [t.start_client(n) for n in cluster.names for _ in range(3)]
+    cluster.until(lambda: all(c.has("up") for c in clients), 5)
     cluster.loop.start_task(t.generate_clients(), "crowd")
     before = {n: cluster.processes[n].pid for n in cluster.names}
     assert cluster.control_call("n3", "release plan restart soak_s=0.2 patience_s=20 gated=0").startswith(
@@ -216,37 +220,37 @@
     )
     assert cluster.control_call("n3", "release start").startswith("ACK")
 
-    def through() -> bool:
+    def is_done() -> bool:
         cluster.adopt()
         return any(release(cluster, n)["state"] == "done" for n in cluster.names)
 
-    cluster.until(through, 60)
+    cluster.until(is_done, 60)
     assert all(cluster.processes[n].pid != before[n] for n in cluster.names)
-    cluster.until(lambda: whole(cluster, 3), 15)
+    cluster.until(lambda: cluster_formed(cluster, 3), 15)
     t.avoided = set(cluster.names)
     cluster.run(1)
     assert t.harmed_clients(set()) == []
-    assert not [c for c in held if c.ended_at]
+    assert not [c for c in clients if c.ended_at]
 
 
-def test_a_voter_killed_with_its_state_on_disk_votes_again_and_one_without_is_taken_in(traffic) -> None:
+def test_voters_that_lost_their_state_rejoin_through_a_majority_or_a_reset(traffic) -> None:
     t = traffic(3)
     cluster = t.cluster
     assert cluster.control_call("n1", "drain s0").startswith("ACK")
     cluster.until(lambda: cluster.replicated("n2")["permits"], 5)
     cluster.kill(["n0"])
     cluster.until(lambda: cluster.replicated("n1")["leader"] in ("n1", "n2"), 8)
-    cluster.start(["n0"])  # it has lost its state
+    cluster.start(["n0"])  # without a state folder: its state is lost
     cluster.until(
         lambda: len(cluster.replicated("n0").get("voters", [])) == 3 and cluster.replicated("n0")["permits"],
         15,
     )
-    sent = max(at for wire in t.servers.values() for at in [0, *wire[0].opened_at])
-    assert sent < clock() - 100 * MS
+    last_opened = max(at for wire in t.servers.values() for at in [0, *wire[0].opened_at])
+    assert last_opened < clock() - 100 * MS
     cluster.kill(["n0", "n1"])
-    cluster.start(["n0", "n1"])  # a majority has lost its state: nothing is agreed until somebody says so
+    cluster.start(["n0", "n1"])  # a majority has lost its state: nothing is decided before a reset
     cluster.until(lambda: cluster.views_agree(cluster.names), 15)
     assert cluster.control_call("n2", "undrain s0 off").startswith("NAK not agreed")
-    assert cluster.control_call("n2", "agree reset").startswith("ACK")  # it has the replicated state
-    cluster.until(lambda: whole(cluster, 3), 15)
+    assert cluster.control_call("n2", "agree reset").startswith("ACK")  # n2 still has the replicated state
+    cluster.until(lambda: cluster_formed(cluster, 3), 15)
     assert [p["name"] for p in cluster.replicated("n0")["permits"]] == ["s0"]
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program, faults between them, traffic on both fronts: judged by what came out."""
+"""Clusters of several proxy processes with faults between them, under traffic of both protocols."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
         return made[0]
 
     yield make
-    for one in made:
-        one.close()
+    for traffic_cluster in made:
+        traffic_cluster.close()
 
 
 def test_faults_between_twelve_processes_under_traffic(traffic) -> None:
-    """Dropped links, a split, a stall, crashes, a cordon that outlives who set it."""
+    """Lossy links, a partition, a stall, crashes, and a cordon that survives the proxy that accepted it."""
     t = traffic(12)
     cluster, names = t.cluster, t.cluster.names
     cluster.until(lambda: set(cluster.proxy_counts().values()) == {12}, 20)
@@ -48,23 +48,25 @@
     cluster.network.partition(["n0"], ["n1", "n2", "n3"], one_way=True)
     cluster.network.set_links(names[6:], loss=0.2, doubled=0.1, corrupted=0.05, spread=3 * MS)
     cluster.run(3)
-    assert all("membership: alive" in cluster.log(n) for n in names)  # the form of the lines looked for next
+    assert all(
+        "membership: alive" in cluster.log(n) for n in names
+    )  # the form of the lines searched for below
     assert not [
         n for n in names if "membership: dead" in cluster.log(n) or "membership: gone" in cluster.log(n)
     ]
     cluster.network.heal()
 
-    one, other = names[:6], names[6:]
-    cluster.network.partition(one, other)
-    cluster.until(lambda: cluster.views_agree(one) and cluster.views_agree(other), 15)
-    assert min(cluster.proxy_counts().values()) >= 12  # neither half acts as the whole fleet
+    first_half, second_half = names[:6], names[6:]
+    cluster.network.partition(first_half, second_half)
+    cluster.until(lambda: cluster.views_agree(first_half) and cluster.views_agree(second_half), 15)
+    assert min(cluster.proxy_counts().values()) >= 12  # neither half takes the other's shares
     cluster.network.heal()
     assert cluster.until(cluster.views_agree, 8) < 6
 
     t.avoided = {"n3"}
     cluster.stall(["n3"])
-    rest = [n for n in names if n != "n3"]
-    cluster.until(lambda: cluster.views_agree(rest), 10)
+    others = [n for n in names if n != "n3"]
+    cluster.until(lambda: cluster.views_agree(others), 10)
     cluster.resume(["n3"])
     cluster.until(cluster.views_agree, 5)
     t.avoided = {"n4", "n5", "n6"}
@@ -78,29 +80,29 @@
 
     assert cluster.blocking_control_call("n6", "cordon s0") == ["ACK"]
     cluster.until(lambda: all(cluster.cordons(n) == ["s0"] for n in names), 2)
-    told = clock()
+    known_at = clock()
     cluster.kill(["n6"])
     cluster.until(lambda: cluster.views_agree([n for n in names if n != "n6"]), 8)
     cluster.start(["n6"])
     cluster.until(cluster.views_agree, 8)
     cluster.until(lambda: cluster.cordons("n6") == ["s0"], 2)
     cluster.run(2)
-    sent = [at for wire in t.servers.values() for at in wire[0].opened_at]
-    assert max(sent) < told + 100 * MS
+    opened_at = [at for wire in t.servers.values() for at in wire[0].opened_at]
+    assert max(opened_at) < known_at + 100 * MS
     assert cluster.blocking_control_call("n7", "uncordon s0") == ["ACK"]
     cluster.until(lambda: all(cluster.cordons(n) == [] for n in names), 2)
     cluster.until(
         lambda: max(at for w in t.servers.values() for at in w[0].opened_at) > clock() - 5_000_000, 8
     )
 
-    t.avoided = set(names)  # who has come is answered before the judging
+    t.avoided = set(names)  # clients that have arrived get their replies
     cluster.run(1)
-    came = [c for name, c in t.arrivals if name not in ("n3", "n4", "n5", "n6")]
-    assert len(came) > 200
+    unaffected = [c for name, c in t.arrivals if name not in ("n3", "n4", "n5", "n6")]
+    assert len(unaffected) > 200
     assert t.harmed_clients({"n3", "n4", "n5", "n6"}) == []
 
 
-def test_who_ends_on_purpose_has_left_and_its_clients_are_told_to_move(traffic) -> None:
+def test_a_terminated_member_leaves_and_moves_its_clients(traffic) -> None:
     t = traffic(4)
     cluster = t.cluster
     held = [t.start_client("n2") for _ in range(6)]
@@ -117,17 +119,17 @@
     return next((row["state"] for row in cluster.view(at) if row["name"] == member), "")
 
 
-def test_an_upgrade_and_a_reload_keep_the_member_one(traffic) -> None:
-    """Two processes of one proxy count as one, also across a split; the settings turn the view off and on."""
+def test_a_hot_restart_and_reloads_keep_a_single_member(traffic) -> None:
+    """Two processes of a proxy are one member, also in a partition; reloads turn membership off and on."""
     t = traffic(3)
     cluster = t.cluster
     held = [t.start_client("n1") for _ in range(4)]
     cluster.until(lambda: all(c.has("up") for c in held), 5)
     life = cluster.view("n1")[0]["life"]
     cluster.network.partition(["n1"], ["n0", "n2"])
-    old = cluster.processes["n1"]
+    predecessor = cluster.processes["n1"]
     cluster.start(["n1"])
-    cluster.until(lambda: old.poll() is not None, 10)
+    cluster.until(lambda: predecessor.poll() is not None, 10)
     cluster.network.heal()
     cluster.until(cluster.views_agree, 10)
     assert cluster.view("n1")[0]["life"] > life
@@ -147,28 +149,28 @@
     assert not any(c.ended_at for c in held)
 
 
-def test_a_flood_of_junk_and_of_another_fleet_costs_little_and_changes_nothing(traffic) -> None:
+def test_malformed_datagrams_and_an_oversized_stream_change_nothing(traffic) -> None:
     t = traffic(3)
     cluster = t.cluster
-    real = ("127.0.0.1", cluster.ports["n1"]["fleet"])
+    address = ("127.0.0.1", cluster.ports["n1"]["fleet"])
     before = cluster.view("n1")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for n in range(3000):
-            sock.sendto((b"aF1" if n % 2 else b"") + bytes(n % 1500), real)
-    with contextlib.suppress(OSError), socket.create_connection(real, timeout=2) as sock:
+            sock.sendto((b"aF1" if n % 2 else b"") + bytes(n % 1500), address)
+    with contextlib.suppress(OSError), socket.create_connection(address, timeout=2) as sock:
         sock.sendall(b"\xff\xff\xff\xff" + b"x" * 1000)
         sock.recv(10)
     cluster.run(1)
     served = t.start_client("n1")
     cluster.until(lambda: served.has("up"), 2)
-    figures = cluster.metrics("n1")
-    assert figures["edge.fleet.junk"] > 100
-    assert figures["edge.fleet.oversized"] == 1
+    metrics = cluster.metrics("n1")
+    assert metrics["edge.fleet.junk"] > 100
+    assert metrics["edge.fleet.oversized"] == 1
     assert cluster.views_agree()
     assert [r["life"] for r in cluster.view("n1")] == [r["life"] for r in before]
 
 
-def test_the_command_prints_the_members_and_who_differs(traffic) -> None:
+def test_the_command_prints_the_members_and_differing_views(traffic) -> None:
     t = traffic(3)
     cluster = t.cluster
 
@@ -176,10 +178,10 @@
         return cluster.run_program("fleet", *words)
 
     at = [f"--control=127.0.0.1:{cluster.ports[n]['control']}" for n in cluster.names]
-    good = command(*at)
-    assert good.returncode == 0
-    assert good.stdout.count("alive") == 9
-    assert "cordoned: none" in good.stdout
+    listing = command(*at)
+    assert listing.returncode == 0
+    assert listing.stdout.count("alive") == 9
+    assert "cordoned: none" in listing.stdout
     rows = [json.loads(line) for line in command(at[0], "--json").stdout.splitlines()]
     assert [row["name"] for row in rows[:-1]] == ["n0", "n1", "n2"]
     assert rows[-1]["cordons"] == []
@@ -188,38 +190,38 @@
     cluster.network.partition(["n0"], ["n1", "n2"])
     cluster.until(lambda: cluster.views_agree(["n0"]) and cluster.views_agree(["n1", "n2"]), 10)
     assert command(*at).returncode == 3
-    dead = command(at[0], "--forget", "n1")
-    assert dead.returncode == 0
+    forgotten = command(at[0], "--forget", "n1")
+    assert forgotten.returncode == 0
     assert _state(cluster, "n0", "n1") == "left"
     assert command(at[0], "--forget", "n9").returncode == 1
     cluster.network.heal()
-    cluster.until(cluster.views_agree, 8)  # the operator was wrong: it is back
+    cluster.until(cluster.views_agree, 8)  # n1 was still running, so it comes back
     assert command("--control=127.0.0.1:1").returncode == 1
 
 
-def test_a_view_that_is_turned_off_leaves_the_configured_number_also_at_later_reloads() -> None:
-    """Its last number stayed told as if the fleet still said it."""
+def test_turning_membership_off_restores_the_configured_proxy_count() -> None:
+    """The last proxy count of the view used to stay in force after membership was turned off."""
     fleet = operator.Fleet(listen=f"127.0.0.1:{free_port()}")
     world = World("lines", "up", operator=operator.Operator(fleet=fleet))
     try:
         module = world.driver.balancer
-        assert module.settings.proxy_count == 1  # alone, as configured: nobody may have counted it out
-        world.driver.set_proxy_count(MINIMUM_SHARE_DIVISOR)  # as if the view said so
+        assert module.settings.proxy_count == 1  # alone, as configured
+        world.driver.set_proxy_count(MINIMUM_SHARE_DIVISOR)  # as if it came from the view
         assert module.settings.proxy_count == MINIMUM_SHARE_DIVISOR
         world.proxy.cluster.configure(operator.Operator())
-        for relays in (1, 3):
-            own = replace(world.config, settings=replace(world.config.settings, proxy_count=relays))
-            world.driver.update_settings(own)
-            assert module.settings.proxy_count == relays
+        for count in (1, 3):
+            config = replace(world.config, settings=replace(world.config.settings, proxy_count=count))
+            world.driver.update_settings(config)
+            assert module.settings.proxy_count == count
     finally:
         world.close()
 
 
-GOOD = {"listen": "127.0.0.1:7000", "seeds": ("127.0.0.1:7001",)}
+VALID = {"listen": "127.0.0.1:7000", "seeds": ("127.0.0.1:7001",)}
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "message"),
     [
         ({"listen": "127.0.0.1"}, "listen: not HOST:PORT"),
         ({"listen": "127.0.0.1:0"}, "listen: a port is needed"),
@@ -232,27 +234,27 @@
         ({"peers": 3}, "unknown field"),
     ],
 )
-def test_a_bad_setting_is_refused_in_one_line_that_names_it(change, said: str) -> None:
-    assert isinstance(operator.check_call("fleet", GOOD, [], []), operator.Fleet)
-    with pytest.raises(operator.OperatorCallError, match=said):
-        operator.check_call("fleet", GOOD | change, [], [])
+def test_an_invalid_setting_is_refused_by_name(change, message: str) -> None:
+    assert isinstance(operator.check_call("fleet", VALID, [], []), operator.Fleet)
+    with pytest.raises(operator.OperatorCallError, match=message):
+        operator.check_call("fleet", VALID | change, [], [])
 
 
-def test_nothing_of_it_is_imported_where_it_is_not_set_up() -> None:
+def test_a_proxy_without_membership_does_not_import_it() -> None:
     code = (
         "import sys, arrowseam.cli, arrowseam.proxy\n"
         "own = tuple('arrowseam.' + part for part in ('agree', 'fleet', 'lab', 'net.peers'))\n"
         "print([m for m in sys.modules if m.startswith((*own, 'msgspec'))])"
     )
-    ran = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=20)
-    assert ran.stdout.strip() == "[]", ran.stderr
+    run = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=20)
+    assert run.stdout.strip() == "[]", run.stderr
 
 
-def test_the_name_of_a_host_is_never_looked_up() -> None:
-    from arrowseam.net import peer_transport as peers
+def test_is_ip_address_does_not_resolve_host_names() -> None:
+    from arrowseam.net import peer_transport
 
     began = time.monotonic()
-    assert not peers.is_ip_address("n1.example.org")
-    assert peers.is_ip_address("127.0.0.1")
-    assert peers.is_ip_address("::1")
+    assert not peer_transport.is_ip_address("n1.example.org")
+    assert peer_transport.is_ip_address("127.0.0.1")
+    assert peer_transport.is_ip_address("::1")
     assert time.monotonic() - began < 0.1
