--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -77,7 +77,7 @@
     )
     run = CliRunner().invoke(main, ["lab", "fleet", str(tmp_path / "s.star"), "--keep", str(tmp_path / "k")])
     assert run.exit_code == 0, run.output
-    assert "no promise broken" in run.output
+    assert "no violations" in run.output
     assert "cordon n2 s1" in run.output
     record = Record.read((tmp_path / "k" / "record.json").read_text())
     assert record.settled is not None
@@ -128,7 +128,7 @@
     words = ["lab", "shrink", str(path), "--out", str(out)]
     passing = CliRunner().invoke(main, words)
     assert passing.exit_code == 1
-    assert "nothing to cut down" in passing.output
+    assert "nothing to shrink" in passing.output
     monkeypatch.setattr(lab, "Player", partial(lab.Player, view=mutants.DeadNeverRetried))
     failing = CliRunner().invoke(main, words)
     assert failing.exit_code == 0, failing.output
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -119,7 +119,7 @@
         stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, cwd=ROOT,
     )  # fmt: skip
     assert run.stdout is not None
-    assert run.stdout.readline().startswith("reckoned: ")
+    assert run.stdout.readline().startswith("estimate: ")
     while "have the most common view" not in (line := run.stdout.readline()):
         assert line, "the run ended without a line of progress"
     children = Path(f"/proc/{run.pid}/task/{run.pid}/children").read_text().split()
@@ -127,7 +127,7 @@
     os.kill(run.pid, number)
     _, errors = run.communicate(timeout=20)
     assert run.returncode == 130
-    assert "all that was started has been ended" in errors
+    assert "all started processes have been ended" in errors
     assert not [pid for pid in children if Path(f"/proc/{pid}").exists()]
 
 
