--- a/arrowseam/lab/scale.py
+++ b/arrowseam/lab/scale.py
@@ -133,7 +133,7 @@
         voters: dict[str, str],
         identities: dict[str, tuple[int, int]],
     ) -> None:
-        """Configure a process; ``identities``: start time and nonce of members that start with full views."""
+        """Configure a process; ``identities``: start time and nonce of members known from the start."""
         plan = self.plan
         settings = {
             "cluster": "scale",
@@ -192,7 +192,7 @@
             file.write("\n" + "\n".join(lines) + "\n")
 
     def close(self) -> None:
-        """End every process by its id, in whatever state it is."""
+        """End every process by its id, whatever its state."""
         for host in self.hosts:
             host.dead = True
             host.close()
@@ -217,9 +217,9 @@
         """Send a command (start, end or mute) to the processes of these members."""
         names = list(names)
         for host in self.hosts:
-            ours = [name for name in names if self.host_of.get(name) is host]
-            if ours and not host.dead:
-                host.send(do=what, who=ours, **fields)
+            host_names = [name for name in names if self.host_of.get(name) is host]
+            if host_names and not host.dead:
+                host.send(do=what, who=host_names, **fields)
         (self._mark_started if what == "start" else self.mark_ended)(names)
         self.changed_at = clock()
 
--- a/arrowseam/lab/scale_faults.py
+++ b/arrowseam/lab/scale_faults.py
@@ -15,7 +15,7 @@
 
 RESTART_DELAY = 0.5  # seconds between the end of a member and its restart
 # Operators expect 23 silent deaths and 830 restarts a day among 6,500 members, in zones of 542.
-SILENT_A_DAY, RESTARTS_A_DAY, EXPECTED_MEMBERS, EXPECTED_ZONE = 23, 830, 6_500, 542
+SILENT_PER_DAY, RESTARTS_PER_DAY, EXPECTED_MEMBERS, EXPECTED_ZONE = 23, 830, 6_500, 542
 
 
 class FaultInjector:
@@ -38,7 +38,7 @@
                 self._restart_some(phase, fault)
             case ScaleFault.SILENT:
                 phase.ended = self._sample_members(
-                    max(1, round(self.run.plan.members * SILENT_A_DAY / EXPECTED_MEMBERS))
+                    max(1, round(self.run.plan.members * SILENT_PER_DAY / EXPECTED_MEMBERS))
                 )
                 phase.about = f"{len(phase.ended)} silent, connections not refused"
                 self.run.command("mute", phase.ended)
@@ -60,7 +60,7 @@
         """Restart one member, or within the span as many as restart in an hour at the expected rate."""
         count, span = 1, 0.0
         if fault is ScaleFault.RESTARTS:
-            count = max(2, round(self.run.plan.members * RESTARTS_A_DAY / EXPECTED_MEMBERS / 24))
+            count = max(2, round(self.run.plan.members * RESTARTS_PER_DAY / EXPECTED_MEMBERS / 24))
             span = self.run.plan.span(fault)
         phase.about = f"{count} restarted"
         for name in self._sample_members(count):
--- a/arrowseam/lab/scale_plan.py
+++ b/arrowseam/lab/scale_plan.py
@@ -31,16 +31,16 @@
 
 PERIOD_MS = 300  # the probe period of proxies
 SETTLE = 30.0  # seconds after the last fault of a phase within which all views must be equal
-SPAN: dict[str, float] = {
+DEFAULT_SPANS: dict[str, float] = {
     ScaleFault.CUT: 60.0,
     ScaleFault.ONE_WAY: 60.0,
     ScaleFault.STOP: 10.0,
 }  # seconds that a fault lasts
 PROCESSES_MAX = 300
-HOST_MIB, REAL_MIB = 32, 40  # measured memory of a simulated process, and of a real proxy
-RECORD_KIB = 2.4  # memory of a record in a view; measured at 500 and 1,000 members: 2.1 to 2.3
-STREAM_FDS = 34  # maximum descriptors of a member: two sockets, and 16 streams in each direction
-REST_CPU = 0.0025  # cores of an idle member at PERIOD_MS; measured with 100 members: 0.0019
+SIMULATED_PROCESS_MIB, PROXY_MIB = 32, 40  # measured memory of a simulated process, and of a real proxy
+RECORD_KIB = 2.4  # memory of a record and its data in a view; 2.1 to 2.3 measured with 500 and 1,000 members
+MEMBER_DESCRIPTORS_MAX = 34  # two sockets, and 16 streams in each direction
+IDLE_MEMBER_CORES = 0.0025  # cores of an idle member at PERIOD_MS; measured with 100 members: 0.0019
 
 
 class PlanError(ArrowseamError):
@@ -62,13 +62,13 @@
     seed: int = 1
     per_host: int = 50
     view: str = "arrowseam.membership.view:ClusterView"  # tests substitute a mutant
-    spans: dict[str, float] = field(default_factory=dict)  # overrides of SPAN
+    spans: dict[str, float] = field(default_factory=dict)  # overrides of DEFAULT_SPANS
     settle: float = SETTLE
     spread: float = 0.0  # seconds over which the first start of all members is spread
 
     def span(self, fault: str) -> float:
         """Return the seconds that a fault lasts; 0 if it does not end by itself."""
-        return self.spans.get(fault, SPAN.get(fault, 0.0))
+        return self.spans.get(fault, DEFAULT_SPANS.get(fault, 0.0))
 
     def sizes(self) -> list[int]:
         """Return the number of members of each zone, as even as possible."""
@@ -98,9 +98,9 @@
     records = plan.members * zone_members * RECORD_KIB / 1024
     return {
         "processes": hosts + plan.real,
-        "MiB": round(hosts * HOST_MIB + plan.real * REAL_MIB + records),
-        "descriptors": STREAM_FDS * min(plan.per_host, plan.members) + 40,
-        "cores": round(plan.members * REST_CPU * PERIOD_MS / plan.period_ms, 2),
+        "MiB": round(hosts * SIMULATED_PROCESS_MIB + plan.real * PROXY_MIB + records),
+        "descriptors": MEMBER_DESCRIPTORS_MAX * min(plan.per_host, plan.members) + 40,
+        "cores": round(plan.members * IDLE_MEMBER_CORES * PERIOD_MS / plan.period_ms, 2),
     }
 
 
@@ -122,7 +122,7 @@
     if needs["descriptors"] > on.descriptors:
         raise PlanError(f"{needs['descriptors']:.0f} descriptors in a process; the limit is {on.descriptors}")
     if needs["cores"] > 0.75 * on.cores:
-        fitting_period_ms = int(plan.members * REST_CPU * PERIOD_MS / (0.75 * on.cores)) + 1
+        fitting_period_ms = int(plan.members * IDLE_MEMBER_CORES * PERIOD_MS / (0.75 * on.cores)) + 1
         raise PlanError(
             f"about {needs['cores']:.1f} cores while idle; at most three quarters of {on.cores}: "
             f"a stretched period, --period-ms {fitting_period_ms}, would fit"
--- a/tests/test_agree_processes.py
+++ b/tests/test_agree_processes.py
@@ -69,9 +69,8 @@
     assert cluster.control_call("n1", "drain s1").startswith("ACK")
     cluster.until(lambda: all(cluster.replicated(n)["permits"] for n in cluster.names), 4)
     known_at = clock()
-    assert [p["name"] for p in cluster.replicated("n2")["permits"]] == [
-        "s0"
-    ]  # s1 waits: the budget is one server
+    # s1 waits: the budget is one server.
+    assert [p["name"] for p in cluster.replicated("n2")["permits"]] == ["s0"]
     cluster.until(lambda: cluster.replicated("n0")["permits"][0]["safe"], 25)
     for wire in t.servers.values():
         assert not wire[0].live
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -48,9 +48,8 @@
     cluster.network.partition(["n0"], ["n1", "n2", "n3"], one_way=True)
     cluster.network.set_links(names[6:], loss=0.2, doubled=0.1, corrupted=0.05, spread=3 * MS)
     cluster.run(3)
-    assert all(
-        "membership: alive" in cluster.log(n) for n in names
-    )  # the form of the lines searched for below
+    # The lines searched for below have this form.
+    assert all("membership: alive" in cluster.log(n) for n in names)
     assert not [
         n for n in names if "membership: dead" in cluster.log(n) or "membership: gone" in cluster.log(n)
     ]
@@ -105,13 +104,13 @@
 def test_a_terminated_member_leaves_and_moves_its_clients(traffic) -> None:
     t = traffic(4)
     cluster = t.cluster
-    held = [t.start_client("n2") for _ in range(6)]
-    cluster.until(lambda: all(c.has("up") for c in held), 5)
+    clients = [t.start_client("n2") for _ in range(6)]
+    cluster.until(lambda: all(c.has("up") for c in clients), 5)
     process = cluster.terminate("n2")
     cluster.until(lambda: all(_state(cluster, n, "n2") == "left" for n in ("n0", "n1", "n3")), 2)
     cluster.until(lambda: process.poll() is not None, 8)
     cluster.reap("n2")
-    assert all(c.has("moved") for c in held)
+    assert all(c.has("moved") for c in clients)
     cluster.until(lambda: set(cluster.proxy_counts().values()) == {proxy_count(4, 4, 1, 0)}, 15)
 
 
@@ -123,8 +122,8 @@
     """Two processes of a proxy are one member, also in a partition; reloads turn membership off and on."""
     t = traffic(3)
     cluster = t.cluster
-    held = [t.start_client("n1") for _ in range(4)]
-    cluster.until(lambda: all(c.has("up") for c in held), 5)
+    clients = [t.start_client("n1") for _ in range(4)]
+    cluster.until(lambda: all(c.has("up") for c in clients), 5)
     life = cluster.view("n1")[0]["life"]
     cluster.network.partition(["n1"], ["n0", "n2"])
     predecessor = cluster.processes["n1"]
@@ -134,7 +133,7 @@
     cluster.until(cluster.views_agree, 10)
     assert cluster.view("n1")[0]["life"] > life
     assert sorted(row["name"] for row in cluster.view("n0")) == ["n0", "n1", "n2"]
-    assert not any(c.ended_at for c in held)
+    assert not any(c.ended_at for c in clients)
 
     path = cluster.folder / "n1.star"
     text = path.read_text()
@@ -146,7 +145,7 @@
     path.write_text(text)
     cluster.processes["n1"].send_signal(signal.SIGHUP)
     cluster.until(cluster.views_agree, 8)
-    assert not any(c.ended_at for c in held)
+    assert not any(c.ended_at for c in clients)
 
 
 def test_malformed_datagrams_and_an_oversized_stream_change_nothing(traffic) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -154,20 +154,20 @@
 def test_the_incremental_sum_of_shares_equals_the_full_sum(seed: int) -> None:
     """Compared at every event of drawn schedules, exactly, in integer units."""
     player = Player(draw(seed))
-    net, watch, looks = player.net, player.net.watch, [0]
+    net, watch, checks = player.net, player.net.watch, [0]
 
-    def plain() -> None:
-        looks[0] += 1
+    def check_sums() -> None:
+        checks[0] += 1
         assert net.taken == sum(units(p.proxy_count.value) for p in net.running.values())
         exact = sum((Fraction(1, p.proxy_count.value) for p in net.running.values()), Fraction(0))
         assert abs(net.sum - float(exact)) < 1e-15 * max(1, len(net.running))
         assert net.share >= net.sum
         watch()
 
-    net.watch = plain
+    net.watch = check_sums
     verdict = player.play()
     assert verdict.broken == []
-    assert looks[0] > 100
+    assert checks[0] > 100
 
 
 def test_a_killed_process_has_no_share() -> None:
@@ -175,9 +175,9 @@
     for name in net.names:
         net.start(name)
     assert net.until(net.agreed, 10 * SECOND) is not None
-    taken, told = net.taken, net.running["m1"].proxy_count.value
+    taken, count = net.taken, net.running["m1"].proxy_count.value
     net.kill("m1")
-    assert net.taken == taken - units(told)
+    assert net.taken == taken - units(count)
     assert net.until(net.agreed, 10 * SECOND) is not None
 
 
@@ -201,9 +201,9 @@
         net.kill(name)
     net.cordon("m0", "s1", True)
     net.run(10 * SECOND)
-    ours = [p for name, p in net.running.items() if net.zone_of[name] == "z0"]
-    assert len(ours) == 237
-    known = [name for name in ended if not any(p.view.records[name].is_active for p in ours)]
+    same_zone = [p for name, p in net.running.items() if net.zone_of[name] == "z0"]
+    assert len(same_zone) == 237
+    known = [name for name in ended if not any(p.view.records[name].is_active for p in same_zone)]
     # Probe targets are random: within seven seconds, one member in ten is probed by nobody.
     assert len(known) >= 10
     assert len([name for name, p in net.running.items() if "s1" in p.cordoned]) == 6_487
