--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -51,23 +51,25 @@
         cluster = LocalCluster(Path(folder), members)
         try:
             cluster.start()
-            took = cluster.until(lambda: cluster.agreed(cluster.names), 60)
+            took = cluster.until(lambda: cluster.views_agree(cluster.names), 60)
             print(f"{members} proxies agree after {took:.1f} s")
             cluster.run(3)
             killed = cluster.names[3 : 3 + members // 8]
             cluster.kill(killed)
             others = [n for n in cluster.names if n not in killed]
-            took = cluster.until(lambda: cluster.agreed(others), 30)
+            took = cluster.until(lambda: cluster.views_agree(others), 30)
             print(f"{len(killed)} killed: known to all after {took:.1f} s")
             cluster.start(killed)
-            print(f"started again: {cluster.until(cluster.agreed, 30):.1f} s")
+            print(f"started again: {cluster.until(cluster.views_agree, 30):.1f} s")
             first_half, second_half = cluster.names[: members // 2], cluster.names[members // 2 :]
             cluster.network.partition(first_half, second_half)
-            took = cluster.until(lambda: cluster.agreed(first_half) and cluster.agreed(second_half), 60)
+            took = cluster.until(
+                lambda: cluster.views_agree(first_half) and cluster.views_agree(second_half), 60
+            )
             proxy_counts = sorted(set(cluster.proxy_counts().values()))
             print(f"partitioned in halves: each agrees after {took:.1f} s; proxy counts {proxy_counts}")
             cluster.network.heal()
-            print(f"healed: {cluster.until(cluster.agreed, 30):.1f} s")
+            print(f"healed: {cluster.until(cluster.views_agree, 30):.1f} s")
         finally:
             cluster.close()
 
