--- a/arrowseam/lab/mutants.py
+++ b/arrowseam/lab/mutants.py
@@ -331,7 +331,7 @@
 class _WholeBudgetEvidence(EvidenceTracker):
     def proxy_count(self, rule: Callable[..., int] = proxy_count) -> int:
         known = self.members.known_count
-        return rule(self.configured, known, self.counted_out_count, self.unconfirmed_count)
+        return rule(self.configured_count, known, self.counted_out_count, self.unconfirmed_count)
 
 
 class ZoneTakesWholeBudget(PlantedView):
@@ -444,7 +444,7 @@
     def proxy_count(self, rule: Callable[..., int] = proxy_count) -> int:
         if not self.never_counts_out or self.context.settings.zone in self.view.zones.by_name:
             return super().proxy_count(rule)
-        return rule(self.configured, self.members.known_count, 0, self.unconfirmed_count)
+        return rule(self.configured_count, self.members.known_count, 0, self.unconfirmed_count)
 
 
 class HoldPaysByOwnRule(PlantedView):
@@ -478,8 +478,8 @@
         zones = self.view.zones
         silent = sum(zone.size for zone in zones.others if zone.silent)
         known = self.members.known_count
-        numbers = self.configured, known, self.counted_out_count, self.unconfirmed_count
-        return rule(*numbers, Fraction(self.configured, max(1, zones.total_size - silent)))
+        numbers = self.configured_count, known, self.counted_out_count, self.unconfirmed_count
+        return rule(*numbers, Fraction(self.configured_count, max(1, zones.total_size - silent)))
 
 
 class SilentZoneGivesUpShare(PlantedView):
--- a/arrowseam/membership/evidence.py
+++ b/arrowseam/membership/evidence.py
@@ -103,7 +103,11 @@
 
     def update_complete(self) -> None:
         """Check whether all configured members are known and confirmed."""
-        if not self.complete and not self.context.leaving and self.members.known_count >= self.configured:
+        if (
+            not self.complete
+            and not self.context.leaving
+            and self.members.known_count >= self.configured_count
+        ):
             self.complete = all(name in self.confirmed for name in self.members.ring.names)
 
     # --- share ---
@@ -116,11 +120,11 @@
     @property
     def unconfirmed_count(self) -> int:
         """Number of names that may have counted us out, including configured members that are unknown."""
-        others = max(self.configured, self.members.known_count) - 1
+        others = max(self.configured_count, self.members.known_count) - 1
         return others if self.context.leaving else others - len(self.confirmed)
 
     @property
-    def configured(self) -> int:
+    def configured_count(self) -> int:
         """Number of members configured in our zone, or in the cluster if it has no zones."""
         zone = self.view.zones.by_name.get(self.context.settings.zone)
         return self.context.settings.configured_members if zone is None else zone.size
@@ -132,7 +136,7 @@
 
     def proxy_count(self, rule: Callable[..., int] = proxy_count) -> int:
         """Return the number of proxies that our budgets are divided by."""
-        configured, known = self.configured, self.members.known_count
+        configured, known = self.configured_count, self.members.known_count
         numbers = configured, known, self.counted_out_count, self.unconfirmed_count
         if self.never_counts_out:
             # Others may use another rule or other sizes: assume the full cost if any member is unconfirmed.
--- a/arrowseam/membership/reconnection.py
+++ b/arrowseam/membership/reconnection.py
@@ -85,7 +85,7 @@
 
     def _unreached_seeds(self) -> list[Address]:
         reached = self.members.active_addresses()
-        if self.members.ring.names or self.view.evidence.configured == 1:
+        if self.members.ring.names or self.view.evidence.configured_count == 1:
             # A member that is alone in its zone also asks these: they may know other members of it.
             reached |= self.view.bridges.foreign_seeds
         return [seed for seed in self.context.settings.seeds if seed not in reached]
@@ -114,7 +114,7 @@
 
         A member that is kept is known to have ended; a configured member that is unknown would take a share.
         """
-        surplus = self.members.known_count - self.view.evidence.configured
+        surplus = self.members.known_count - self.view.evidence.configured_count
         ttl = self.context.settings.tombstone_ttl
         for name, record in list(self.members.records.items()):
             if surplus <= 0:
