--- a/arrowseam/membership/evidence.py
+++ b/arrowseam/membership/evidence.py
@@ -25,7 +25,7 @@
     def __init__(self, view: ClusterView) -> None:
         self.view, self.context, self.members = view, view.context, view.members
         self.holders = DigestHolders(view.members.me.name)
-        self.acked: set[ProcessId] = set()
+        self.answered: set[ProcessId] = set()
         self.refused: set[ProcessId] = set()
         self.confirmed: set[str] = set()  # names that cannot have counted out our current process
         self.counted_out: set[str] = set()
@@ -37,7 +37,7 @@
         """Return whether the process answered us, its host refused a stream, or it was declared left."""
         process = record.process_id
         declared_left = record.state is State.LEFT and record.reported_by != ""
-        return process in self.acked or process in self.refused or declared_left
+        return process in self.answered or process in self.refused or declared_left
 
     def reevaluate(self, name: str) -> None:
         """Update whether a name is counted out, and whether it may have counted us out.
@@ -61,8 +61,8 @@
     def on_answer(self, record: MemberRecord) -> None:
         """Record that a process has answered our current one, so it knows us as a member."""
         known, process = self.members.records.get(record.name), record.process_id
-        if known is not None and process not in self.acked and known.process_id == process:
-            self.acked.add(process)
+        if known is not None and process not in self.answered and known.process_id == process:
+            self.answered.add(process)
             self.reevaluate(record.name)
 
     def on_refusal(self, record: MemberRecord) -> None:
@@ -90,12 +90,12 @@
 
     def forget_process(self, process: ProcessId) -> None:
         """Drop the evidence about a process whose name is now used by another process."""
-        self.acked.discard(process)
+        self.answered.discard(process)
         self.refused.discard(process)
 
     def reset(self) -> None:
         """Drop all evidence: our process has a new start time or name, which no member has answered yet."""
-        self.acked.clear()
+        self.answered.clear()
         self.refused.clear()
         self.confirmed.clear()
         self.counted_out.clear()
--- a/arrowseam/membership/view.py
+++ b/arrowseam/membership/view.py
@@ -129,7 +129,7 @@
                 self.zones.add_contact(record, False)
             else:
                 own_zone.append(record)
-                evidence.acked.add(record.process_id)
+                evidence.answered.add(record.process_id)
         members.load(own_zone, now, like.members if like is not None else None)
         evidence.confirmed = set(members.records)
         members.ring.fill(list(members.records), self.context.random)
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -581,7 +581,7 @@
         leaving = self.context.leaving
         if members.known_count >= configured and not leaving:
             not_ended = (r for r in members.records.values() if r.state not in ENDED_STATES)
-            self.was_complete = self.was_complete or all(r.process_id in self.acked for r in not_ended)
+            self.was_complete = self.was_complete or all(r.process_id in self.answered for r in not_ended)
         if not self.was_complete or leaving:
             return MINIMUM_SHARE_DIVISOR * size
         return math.ceil((size - ended) / (1.0 - ended / (MINIMUM_SHARE_DIVISOR * size)))
