--- a/arrowseam/balancer/rebalancing.py
+++ b/arrowseam/balancer/rebalancing.py
@@ -13,16 +13,16 @@
 from arrowseam.balancer.units import SECOND
 
 REBALANCE_INTERVAL = SECOND  # between two rounds
-# Parts of this proxy's connections at an endpoint that are migrated in one round: small, so that the endpoint
-# is back within its capacity in a few seconds without all clients returning at once.
-OVERLOADED_MIGRATED_FRACTION = 0.2  # messages are slow there
-OVERCOMMITTED_FRACTION = 0.1  # its load exceeds its capacity, by its weight
-CORDONED_FRACTION = 0.5
-# The same for a draining endpoint, for each second since it was first seen draining: it stops within seconds
-# and may then disconnect its clients itself, while its replacement has only just started.
-DRAINING_FRACTION_GROWTH = 0.05
-DEVIATIONS = 1.0  # standard deviations of the load by which an endpoint must exceed its capacity
-SPARE_FRACTION = 0.8  # of the capacity: with more of it in use, no other endpoint is a better place
+# Fractions of this proxy's connections at an endpoint that are migrated at once: small, so that the endpoint
+# is back within its capacity in a few seconds without all clients returning at the same time.
+OVERLOADED_MIGRATED_FRACTION = 0.2  # per report that a message is slow there or that the endpoint is full
+OVERCOMMITTED_MIGRATED_FRACTION = 0.1  # per round; its estimated connections exceed its share of the capacity
+CORDONED_MIGRATED_FRACTION = 0.5  # per round
+# At a draining endpoint the fraction grows from when it was first seen draining: it stops within seconds and
+# may then disconnect its clients itself, while its replacement has only just started.
+DRAINING_FRACTION_PER_SECOND = 0.05
+EXCESS_DEVIATIONS = 1.0  # standard deviations of its load by which an endpoint must exceed its capacity
+MAX_USED_FRACTION = 0.8  # of the usable capacity: with more in use, other endpoints have no room either
 
 
 class Rebalancer:
@@ -50,9 +50,10 @@
     def select_from(
         self, endpoint: EndpointRecord, fraction: float = OVERLOADED_MIGRATED_FRACTION, at_least: int = 0
     ) -> list[int]:
-        """Return a part of the endpoint's connections, to be migrated; their number is rounded at random.
+        """Take connections off the endpoint's list, to be migrated, and return their ids.
 
-        Each is the one with more load for its priority weight of two drawn.
+        Their number is rounded at random, so that its mean is exact. Each is chosen from two drawn at random:
+        the one with more load per unit of its priority weight.
         """
         established, random = endpoint.established, self.random
         count = max(int(fraction * len(established) + random()), min(at_least, len(established)))
@@ -68,51 +69,52 @@
     def select_from_leaving(self, now: int) -> list[int]:
         """Return connections to migrate off cordoned and draining endpoints in this round.
 
-        Guards against clients that are all disconnected when a draining endpoint stops, and against all
-        proxies migrating them at once while that endpoint still has capacity and few others do. The part is
-        small at first and grows each second. Where a proxy has one or two connections there, chance decides:
-        a minimum of one per proxy would be all of them. From a cordoned endpoint at least one is migrated,
-        so that the last ones do not stay by chance.
+        Guards against a draining endpoint that disconnects all its clients when it stops, and against all
+        proxies migrating them at once, while it can still serve them and few other endpoints have room. The
+        fraction is small at first and grows each second. There is no minimum per proxy: if each has only one
+        or two connections there, a minimum of one would migrate half or all of them at once. From a
+        cordoned endpoint at least one is migrated per round, so that the last ones do not stay by chance.
         """
         migrated: list[int] = []
         for endpoint in list(self.requests.serving.values()):
             if endpoint.endpoint_id in self.endpoints.cordoned:
-                migrated += self.select_from(endpoint, CORDONED_FRACTION, at_least=1)
+                migrated += self.select_from(endpoint, CORDONED_MIGRATED_FRACTION, at_least=1)
             elif endpoint.state is EndpointState.DRAINING:
                 endpoint.draining_since = endpoint.draining_since or now
-                fraction = DRAINING_FRACTION_GROWTH * (now - endpoint.draining_since + SECOND) / SECOND
+                fraction = DRAINING_FRACTION_PER_SECOND * (now - endpoint.draining_since + SECOND) / SECOND
                 migrated += self.select_from(endpoint, min(1.0, fraction))
             else:
                 endpoint.draining_since = 0
         return migrated
 
     def select_from_overcommitted(self) -> list[int]:
-        """Return connections to migrate off endpoints whose load exceeds their capacity by weight.
+        """Return connections to migrate off endpoints that exceed their share of the capacity, by weight.
 
-        Guards against connections that concentrate on one endpoint where slow messages are not reported. In
-        a shortage those that are migrated may find no capacity; they wait without a connection, and the
-        others are served in time.
+        Guards against connections that concentrate on one endpoint unnoticed, where slow messages are not
+        reported. Nothing is migrated if the other endpoints have no room, except in a shortage: clients that
+        are migrated may then wait without a connection, but those that remain are served in time.
         """
         requests, capacity = self.requests, self.capacity
         if requests.load <= 0.0 or not requests.connection_count or not capacity.full_weight:
             return []
-        usable = capacity.total * capacity.shares.usable_weight / max(1, capacity.full_weight)
+        usable_capacity = capacity.total * capacity.shares.usable_weight / max(1, capacity.full_weight)
         proxies = self.settings.proxy_count
-        has_spare = 0.0 < proxies * requests.connection_count < SPARE_FRACTION * usable
+        has_spare = 0.0 < proxies * requests.connection_count < MAX_USED_FRACTION * usable_capacity
         if not has_spare and not capacity.has_shortage():
             return []
-        mean = requests.load / requests.connection_count
+        mean_load = requests.load / requests.connection_count
         migrated: list[int] = []
         for endpoint in list(requests.serving.values()):
-            # A proxy may have more connections here than others by chance: only the excess over that counts.
-            squares = sum(requests.by_id[request_id].load ** 2 for request_id in endpoint.established)
-            assured_load = endpoint.load - DEVIATIONS * math.sqrt(squares)
-            connections = proxies * assured_load / mean + GROUP_COST * requests.groups_at(endpoint)
+            # This proxy may have more load here than other proxies by chance, so one standard deviation is
+            # subtracted: with random arrivals, the root of the sum of the squared loads.
+            sum_of_squares = sum(requests.by_id[request_id].load ** 2 for request_id in endpoint.established)
+            load_lower_bound = endpoint.load - EXCESS_DEVIATIONS * math.sqrt(sum_of_squares)
+            connections = proxies * load_lower_bound / mean_load + GROUP_COST * requests.groups_at(endpoint)
             is_overcommitted = connections > capacity.total * endpoint.weight / capacity.full_weight
             if (
                 is_overcommitted
                 and len(endpoint.established) > 1
                 and capacity.can_estimate_connections(endpoint)
             ):
-                migrated += self.select_from(endpoint, OVERCOMMITTED_FRACTION)
+                migrated += self.select_from(endpoint, OVERCOMMITTED_MIGRATED_FRACTION)
         return migrated
