--- a/arrowseam/membership/evidence.py
+++ b/arrowseam/membership/evidence.py
@@ -1,8 +1,8 @@
-"""First-hand evidence about other processes, and our share of the budgets that follows from it.
+"""First-hand evidence about other processes, and our share of the cluster's budgets that follows from it.
 
-A member is counted out (its share is redistributed) only on first-hand evidence that its process has ended,
-and only first-hand evidence shows that another member has not counted us out. Silence is evidence of neither:
-in a partition each side would count the other out, and the shares would exceed the budget.
+A member whose process has ended is counted out (its share is redistributed) only if we have first-hand
+evidence of that process, and only such evidence shows that another member has not counted us out. Silence
+proves neither: in a partition each side would count the other out, and the shares would exceed the budget.
 """
 
 from __future__ import annotations
@@ -20,21 +20,22 @@
 
 
 class EvidenceTracker:
-    """Processes that have answered our current process, and processes whose address refused a stream."""
+    """Which members we have first-hand evidence of, which we count out, and which may have counted us out."""
 
     def __init__(self, view: ClusterView) -> None:
         self.view, self.context, self.members = view, view.context, view.members
         self.holders = DigestHolders(view.members.me.name)
-        self.answered: set[ProcessId] = set()
-        self.refused: set[ProcessId] = set()
+        self.answered: set[ProcessId] = set()  # our current process
+        self.refused: set[ProcessId] = set()  # ended: nothing or another process listens there
         self.confirmed: set[str] = set()  # names that cannot have counted out our current process
         self.counted_out: set[str] = set()
-        self.complete = False  # all configured members are known and confirmed; latched until ``reset``
+        # All configured members are known and confirmed; stays set until we leave or ``reset`` is called.
+        self.complete = False
 
     # --- evidence ---
 
     def has_evidence(self, record: MemberRecord) -> bool:
-        """Return whether the process answered us, its host refused a stream, or it was declared left."""
+        """Return whether the process answered us, its address refused us, or an operator declared it left."""
         process = record.process_id
         declared_left = record.state is State.LEFT and record.reported_by != ""
         return process in self.answered or process in self.refused or declared_left
@@ -42,8 +43,8 @@
     def reevaluate(self, name: str) -> None:
         """Update whether a name is counted out, and whether it may have counted us out.
 
-        A name stays confirmed for our current process: a later process under that name has never known our
-        previous one, so it cannot count that one out.
+        A name stays confirmed when another process takes it over: that one started after our current process,
+        so it has never known an earlier process of ours and cannot count it out.
         """
         record = self.members.records.get(name)
         if record is None:
@@ -66,12 +67,12 @@
             self.reevaluate(record.name)
 
     def on_refusal(self, record: MemberRecord) -> None:
-        """Record that the host of a process refused a stream to its address."""
+        """Record that a process has ended: its host refused a stream, or another process answered there."""
         self.refused.add(record.process_id)
         self.reevaluate(record.name)
 
     def on_equal_digest(self, sender: MemberRecord, encoded_holders: bytes) -> None:
-        """Record that the sender and the holders that it lists have our digest, and so know our process."""
+        """Record that the sender and the members that it lists have our view's digest, and so know us."""
         holders = self.current_holders()
         if holders.add(sender.name):
             self.on_answer(sender)
@@ -81,7 +82,7 @@
                 self.on_answer(record)
 
     def current_holders(self) -> DigestHolders:
-        """Return the known holders of our digest, reset if the digest has changed."""
+        """Return the members known to have our view's digest; reset if the digest has changed."""
         digest = self.view.digest
         if self.holders.digest != digest:
             own_name = self.members.me.name
@@ -102,7 +103,7 @@
         self.complete = False
 
     def update_complete(self) -> None:
-        """Check whether all configured members are known and confirmed."""
+        """Set ``complete`` once all configured members are known and all active ones are confirmed."""
         if (
             not self.complete
             and not self.context.leaving
@@ -114,12 +115,15 @@
 
     @property
     def counted_out_count(self) -> int:
-        """Number of names that have ended by first-hand evidence."""
+        """Number of names that are counted out; not applied while ``never_counts_out`` holds."""
         return len(self.counted_out)
 
     @property
     def unconfirmed_count(self) -> int:
-        """Number of names that may have counted us out, including configured members that are unknown."""
+        """Number of names that may have counted us out, including configured members that are unknown.
+
+        Once we have announced that we leave, any other member may have counted us out.
+        """
         others = max(self.configured_count, self.members.known_count) - 1
         return others if self.context.leaving else others - len(self.confirmed)
 
@@ -131,19 +135,24 @@
 
     @property
     def never_counts_out(self) -> bool:
-        """Whether no member is counted out: by configuration, or while only some members have zones."""
+        """Whether no member is counted out: by configuration, or while some have no zone or another one."""
         return self.context.settings.never_count_out or bool(self.members.zone_mismatches)
 
     def proxy_count(self, rule: Callable[..., int] = proxy_count) -> int:
-        """Return the number of proxies that our budgets are divided by."""
+        """Return the number of proxies that our budgets are divided by.
+
+        ``rule`` computes it from the numbers of members; simulations replace it.
+        """
         configured, known = self.configured_count, self.members.known_count
         numbers = configured, known, self.counted_out_count, self.unconfirmed_count
         if self.never_counts_out:
-            # Others may use another rule or other sizes: assume the full cost if any member is unconfirmed.
+            # Others may use another rule or other sizes, so how much of our share they have taken is unknown:
+            # if any member is unconfirmed, assume that all others have counted us out.
             others = max(configured, known) - 1
             numbers = configured, known, 0, others if self.unconfirmed_count else 0
         settings, zones = self.context.settings, self.view.zones
         if settings.zone not in zones.by_name:
             return rule(*numbers)
         total = max(settings.configured_members, zones.total_size)
+        # Our zone gets a part of each budget by its number of members.
         return rule(*numbers, Fraction(configured, total))
