--- a/arrowseam/rollouts/permit_holder.py
+++ b/arrowseam/rollouts/permit_holder.py
@@ -1,8 +1,8 @@
 """What the replicated state makes this proxy do: execute its permits, cordon endpoints, check bundles.
 
-A permit is used at most once, by the process that it was granted to. A later process of the same name only
-reports the permit as completed, once it serves with the right bundle: it may be catching up on a log in which
-the permit ended long ago.
+A permit is executed at most once, by the process that it was granted to. A later process of the same name
+never executes it: while it catches up on the replicated log, it may see a permit that ended long ago. It only
+reports the permit as completed, once it serves with the right bundle.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class PermitHolder:
-    """This proxy as a holder of permits; ``report_due`` is set when a report should be sent at once."""
+    """This proxy as a holder of permits; ``report_due`` is set when its status should be reported at once."""
 
     def __init__(self, name: str, started_at: int, digest: str, replicated: ReplicatedState) -> None:
         """``digest``: of the bundle that the process runs with; empty for its own settings file."""
@@ -27,14 +27,15 @@
         self.replicated = replicated
         self.cluster = ClusterState()
         self.serving = False
-        self.endpoints_out: set[str] = set()
+        self.endpoints_out: set[str] = set()  # those that hold a permit to be out
+        # Outcomes of permits, reported until the permits end in the replicated state.
         self.completed: list[int] = []
         self.unused: list[int] = []
-        self.failed: dict[int, str] = {}
-        self.failed_bundles: set[str] = set()  # digests of bundles that this process could not apply
+        self.failed: dict[int, str] = {}  # permit -> reason
+        self.failed_bundles: set[str] = set()  # digests desired when an execution failed: not restored
         self.executing: int | None = None  # the permit being executed; 0: a bundle is being restored
         self.report_due = False
-        self._handled_permits: set[int] = set()  # permits that were used, or given back unused
+        self._handled_permits: set[int] = set()  # execution was started, or the outcome is known
         self._bundle_checks: dict[str, str] = {}  # digest -> empty, failure reason, or _CHECK_PENDING
         self._effects: list[Effect] = []
 
@@ -44,7 +45,7 @@
         return {digest: result for digest, result in self._bundle_checks.items() if result != _CHECK_PENDING}
 
     def is_halted(self, release: Release) -> bool:
-        """Whether a halt is known here that has not been resumed."""
+        """Whether this proxy knows of a halt of the release that has not been resumed."""
         return self.cluster.is_halted(release)
 
     def reconcile(self) -> list[Effect]:
@@ -88,10 +89,10 @@
     def _handle_permit(self, permit_id: int) -> None:
         """Handle a permit of this proxy that has not been handled yet.
 
-        A permit for a later process is left to that process. If this process started after the grant, or
-        already runs the bundle, the permit is reported as completed once the bundle is in effect and the
-        proxy serves. If the release is finished or halted, the permit is given back unused. Otherwise it is
-        executed.
+        A permit for a later process is left to that process. If this process is later than the one that the
+        permit was granted to, or already runs with the bundle to be applied, the permit is reported as
+        completed once the bundle is in effect and the proxy serves. If the release is finished or halted, the
+        permit is given back unused. Otherwise it is executed.
         """
         permit = self.replicated.state.permits[permit_id]
         release = self.replicated.state.releases.get(permit.release_id)
@@ -115,7 +116,7 @@
         self._execute(ExecutePermit(permit_id, release.plan.kind, permit.digest, self._bundle(permit.digest)))
 
     def _restore_bundle(self) -> None:
-        """Apply the bundle that a restart has undone, or that was released while this proxy was away."""
+        """Apply the desired bundle: a restart has undone it, or it was released while this proxy was away."""
         digest = self.replicated.desired_digest(self.name)
         if digest not in self.failed_bundles and (not digest or digest in self.replicated.state.bundles):
             self._execute(ExecutePermit(0, ReleaseKind.SETTINGS, digest, self._bundle(digest)))
@@ -134,7 +135,7 @@
         if failure:
             self.failed_bundles.add(self.replicated.desired_digest(self.name))
             permit = self.replicated.permit_of(ResourceKind.PROXY, self.name)
-            # 0: the bundle was applied by a process that is later than the permit's.
+            # 0: a later process, which restores the bundle in place of executing the permit, has failed to.
             if permit is not None and permit_id in (0, permit.id):
                 self.failed[permit.id] = failure
                 self._handled_permits.add(permit.id)
