--- a/arrowseam/membership/evidence.py
+++ b/arrowseam/membership/evidence.py
@@ -43,8 +43,8 @@
     def reevaluate(self, name: str) -> None:
         """Update whether a name is counted out, and whether it may have counted us out.
 
-        A name stays confirmed when another process takes it over: that one started after our current process,
-        so it has never known an earlier process of ours and cannot count it out.
+        A name stays confirmed when a later process takes it over: that one has never known an earlier process
+        of ours, so it cannot count us out because of it.
         """
         record = self.members.records.get(name)
         if record is None:
