--- a/tests/network.py
+++ b/tests/network.py
@@ -1,7 +1,7 @@
 """One small world on loopback for the tests of the network code: the laboratory's stand-ins and discovery,
 coroutines on the proxy's own loop, so a test needs no threads and waits on conditions.
 
-``World(wire)`` has one proxy with both fronts; ``wire`` says which one the stand-ins speak.
+``ProxyNetwork(wire)`` has one proxy with both fronts; ``wire`` says which one the stand-ins speak.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 }  # fmt: skip
 
 
-class World:
+class ProxyNetwork:
     def __init__(
         self,
         wire: str,
@@ -177,12 +177,12 @@
             self.loop.epoll.close()
 
 
-def create_worlds(wire: str) -> Iterator[Callable[..., World]]:
+def create_networks(wire: str) -> Iterator[Callable[..., ProxyNetwork]]:
     """For fixtures: a function that makes worlds of this wire; all are closed in the end."""
-    created: list[World] = []
+    created: list[ProxyNetwork] = []
 
-    def create(*modes: str, **fields: Any) -> World:
-        created.append(World(wire, *modes, **fields))
+    def create(*modes: str, **fields: Any) -> ProxyNetwork:
+        created.append(ProxyNetwork(wire, *modes, **fields))
         return created[-1]
 
     yield create
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
     make_endpoints,
     snapshot,
 )
-from network import World, create_worlds
+from network import ProxyNetwork, create_networks
 
 from arrowseam.balancer.events import (
     CordonChanged,
@@ -36,8 +36,8 @@
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     ],
 )
 def test_calls(call: bytes, answer: bytes):
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     assert w.control(call).startswith(answer)
     w.close()
 
@@ -67,7 +67,7 @@
     """A process without an endpoint list, or one that shuts down, cannot serve. Health must say so, or
     clients are sent to it.
     """
-    w = World("lines", "up", known=False)
+    w = ProxyNetwork("lines", "up", known=False)
     assert w.control(b"health\n").startswith(b"NAK")
     w.tell(s0={})
     w.until(lambda: w.driver.endpoint_count)
@@ -79,7 +79,7 @@
 
 def test_callers_who_say_nothing_or_half_a_call_block_nobody():
     """And half a call does nothing, also when its caller leaves."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     mute = [w.call(b"") for _ in range(30)] + [w.call(b"cordon s0") for _ in range(3)]
     w.run(0.05)
     began = clock()
@@ -280,7 +280,7 @@
 
 def test_all_descriptors_of_a_caller_are_given_back():
     """A caller asks and leaves. None of its descriptors may stay open."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     w.until(lambda: w.calls)  # discovery's connection is there: it is none of the caller's
     before = sum(isinstance(c, Connection) for c in w.loop.watched.values())
     w.control(b"health\n")
--- a/tests/test_cordon_file.py
+++ b/tests/test_cordon_file.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from network import World
+from network import ProxyNetwork
 
 from arrowseam.hot_restart.cordon_file import CordonFile
 from arrowseam.hot_restart.restart_socket import RestartSocket
@@ -40,7 +40,7 @@
     """If the file held drained endpoints, one whose drain ended while the proxy was down would stay cordoned
     at this proxy for ever.
     """
-    world = World("lines", "up", "up", "up")
+    world = ProxyNetwork("lines", "up", "up", "up")
     world.proxy.cluster = DrainingCluster(drained, cordoned)
     cordon_file = CordonFile(tmp_path, "n0", "127.0.0.1:1")
     restart = ProxyHotRestart(world.proxy, RestartSocket(tmp_path, "n0", "127.0.0.1:1"), cordon_file)
--- a/tests/test_discovery_failures.py
+++ b/tests/test_discovery_failures.py
@@ -13,7 +13,7 @@
 
 import h11
 import pytest
-from network import SETTINGS, World, create_worlds, free_port
+from network import SETTINGS, ProxyNetwork, create_networks, free_port
 from test_termination_races import RawClient
 
 from arrowseam.net.clock import SECOND, clock
@@ -24,9 +24,9 @@
 
 
 @pytest.fixture
-def line_world() -> Iterator[Callable[..., World]]:
+def line_world() -> Iterator[Callable[..., ProxyNetwork]]:
     """For tests that do not depend on the wire protocol."""
-    yield from create_worlds("lines")
+    yield from create_networks("lines")
 
 
 LIST_TEMPLATE = '{"generation":%d,"reset":true,"instances":[%s]}'
@@ -129,7 +129,7 @@
         service.close()
 
 
-def switch_to(w: World, service: StandInDiscovery) -> None:
+def switch_to(w: ProxyNetwork, service: StandInDiscovery) -> None:
     w.proxy.discovery.switch_to(service.address)
 
 
@@ -367,7 +367,7 @@
     assert describe_protocol_error(error) == "it is not valid HTTP/1.1"
 
 
-def create_agent_world(create: Callable[..., World], *modes: str) -> World:
+def create_agent_world(create: Callable[..., ProxyNetwork], *modes: str) -> ProxyNetwork:
     return create(*modes, registry_mode="automatic")
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from network import World, free_port
+from network import ProxyNetwork, free_port
 
 from arrowseam.config import operator
 from arrowseam.lab.local_cluster import LocalCluster
@@ -200,7 +200,7 @@
 def test_a_view_that_is_turned_off_leaves_the_configured_number_also_at_later_reloads() -> None:
     """Its last number stayed told as if the fleet still said it."""
     fleet = operator.Fleet(listen=f"127.0.0.1:{free_port()}")
-    world = World("lines", "up", operator=operator.Operator(fleet=fleet))
+    world = ProxyNetwork("lines", "up", operator=operator.Operator(fleet=fleet))
     try:
         module = world.driver.balancer
         assert module.settings.proxy_count == 1  # alone, as configured: nobody may have counted it out
--- a/tests/test_full_cordon_set.py
+++ b/tests/test_full_cordon_set.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from network import World
+from network import ProxyNetwork
 
 from arrowseam.membership.cordons import CORDONS_MAX, MARK_PREFIX, MARKS_RESERVED, Cordon, CordonSet
 from arrowseam.rollouts.runtime import NO_ROOM_FOR_HALT, RolloutRuntime
@@ -43,7 +43,7 @@
 
 def test_control_answers_nak_to_a_cordon_that_would_not_be_replicated() -> None:
     """With 4,096 cordons in the set, one more was answered ACK but took effect on this proxy only."""
-    world = World("lines", "up")
+    world = ProxyNetwork("lines", "up")
     world.proxy.control.membership = membership = FullMembership()
     assert world.control(b"cordon s0\n") == b"NAK too many cordons are known in the cluster\n"
     assert not world.driver.cordoned
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from network import World, free_port
+from network import ProxyNetwork, free_port
 
 from arrowseam.hot_restart.channel import DescriptorConnection, HandoverChannel
 from arrowseam.hot_restart.cordon_file import CordonFile
@@ -30,7 +30,7 @@
     """A world in which the proxy runs in child processes; ``wire`` selects the protocol that clients use."""
 
     def __init__(self, wire: str, tmp_path: Path, *modes: str) -> None:
-        self.world = World(wire, *(modes or ("up", "up")))
+        self.world = ProxyNetwork(wire, *(modes or ("up", "up")))
         self.folder, self.processes = tmp_path, []
         edge_port, nats_port = free_port(), free_port()
         self.config = self.world.doc | {"listen": f"127.0.0.1:{edge_port}"}
--- a/tests/test_input_edge_cases.py
+++ b/tests/test_input_edge_cases.py
@@ -4,7 +4,7 @@
 
 import pytest
 from helpers import SECOND, START, Clock, arrival, attempt_ended, attempts, make_balancer, make_endpoints
-from network import SETTINGS, World
+from network import SETTINGS, ProxyNetwork
 
 from arrowseam.balancer.events import ConnectionEstablished, HealthCheckEnded, LoadReported, Outcome
 from arrowseam.balancer.settings import Limits, Rules, Tenant
@@ -26,7 +26,7 @@
 def test_an_endpoint_that_does_not_report_its_utilization_is_not_idle(report, is_taken) -> None:
     """A missing field counted as 0, so that the endpoint without a report was preferred."""
     fields = {"fields": ["x0", "inflight"]}
-    world = World("lines", "up", telemetry=fields, caps=SETTINGS["caps"] | {"probing": True})
+    world = ProxyNetwork("lines", "up", telemetry=fields, caps=SETTINGS["caps"] | {"probing": True})
     (endpoint,) = world.driver.balancer.endpoints.by_id.values()
     previous_report = endpoint.reported_at
     world.driver.report_health_check("s0", True, 1_000, report)
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -9,7 +9,7 @@
 
 import pytest
 from click.testing import CliRunner
-from network import World
+from network import ProxyNetwork
 
 from arrowseam import logs
 from arrowseam.cli import main
@@ -106,7 +106,7 @@
 
 
 def create_config() -> Any:
-    w = World("lines")
+    w = ProxyNetwork("lines")
     w.close()
     return w.config
 
@@ -132,7 +132,7 @@
     assert expected_text in str(rejection.value)
     assert "\n" not in str(rejection.value)
     assert time.monotonic() - started_at < 8
-    w, errors = World("lines", "up"), []
+    w, errors = ProxyNetwork("lines", "up"), []
 
     def evaluate_script() -> Coroutine[None]:
         try:
@@ -149,7 +149,7 @@
 
 
 def write_files(tmp_path: Path, text: str, **changes: Any) -> tuple[str, str]:
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     w.close()
     (tmp_path / "config.json").write_text(json.dumps(w.doc | changes))
     (tmp_path / "op.star").write_text(text)
@@ -188,7 +188,7 @@
     """An operator file is changed while the proxy runs, first to an invalid version. Nothing of that may be
     applied, and all of the valid version after it.
     """
-    w = World(
+    w = ProxyNetwork(
         "lines", "up", "up", known=False, operator=run_script(tmp_path, "servers(file='a.json', settle_ms=0)")
     )
     path, operator = str(tmp_path / "config.json"), str(tmp_path / "op.star")
--- a/tests/test_optional_reports.py
+++ b/tests/test_optional_reports.py
@@ -23,7 +23,7 @@
     settings,
     snapshot,
 )
-from network import World
+from network import ProxyNetwork
 
 from arrowseam.balancer import Balancer
 from arrowseam.balancer.actions import Action, Fail, Migrate, Reject, SetTimer, StartAttempt, StartHealthCheck
@@ -192,7 +192,7 @@
 ) -> None:
     """Servers that report no loads sent LOAD 22.4 each second while messages were slow: a latency in
     milliseconds. Read as loads, these distorted every mean."""
-    world = World("lines", "up", family_info=family_info)
+    world = ProxyNetwork("lines", "up", family_info=family_info)
     try:
         balancer_settings = world.config.settings
         assert (balancer_settings.reports_load, balancer_settings.reports_latency) == (
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from network import LANE, SETTINGS, World, free_port
+from network import LANE, SETTINGS, ProxyNetwork, free_port
 
 from arrowseam.address import parse_address
 from arrowseam.balancer.events import HealthCheckEnded, UpdateKind
@@ -56,11 +56,11 @@
 
 
 @pytest.fixture
-def world() -> Iterator[Callable[..., World]]:
-    created: list[World] = []
+def world() -> Iterator[Callable[..., ProxyNetwork]]:
+    created: list[ProxyNetwork] = []
 
-    def create(*modes: str, **fields: Any) -> World:
-        created.append(World(fields.pop("wire", "lines"), *modes, **fields))
+    def create(*modes: str, **fields: Any) -> ProxyNetwork:
+        created.append(ProxyNetwork(fields.pop("wire", "lines"), *modes, **fields))
         return created[-1]
 
     yield create
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from network import SETTINGS, StandInClient, World, create_worlds
+from network import SETTINGS, ProxyNetwork, StandInClient, create_networks
 
 from arrowseam.client_request import Request
 from arrowseam.net.clock import SECOND, clock
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
 @pytest.mark.parametrize("mode", ["busy", "error", "reset", "half"])
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -23,7 +23,7 @@
     settings,
     snapshot,
 )
-from network import LANE, PROTOCOL_MESSAGES, World, create_worlds
+from network import LANE, PROTOCOL_MESSAGES, ProxyNetwork, create_networks
 
 from arrowseam.balancer import Balancer
 from arrowseam.balancer.actions import Fail, Reject
@@ -36,11 +36,13 @@
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
-def reload(w: World, folder: Path, doc: Any, users: tuple[str, ...] = ("tech", "resident")) -> dict[str, int]:
+def reload(
+    w: ProxyNetwork, folder: Path, doc: Any, users: tuple[str, ...] = ("tech", "resident")
+) -> dict[str, int]:
     (folder / "config.json").write_text(doc if isinstance(doc, str) else json.dumps(doc))
     place = {user: {"class": user, "tenant": "acme"} for user in users}
     (folder / "nats.json").write_text(json.dumps(w.nats | {"users": place}))
@@ -48,7 +50,7 @@
     return w.figures()
 
 
-def changed(w: World, *path: Any, value: Any = None) -> dict[str, Any]:
+def changed(w: ProxyNetwork, *path: Any, value: Any = None) -> dict[str, Any]:
     """The running file with one value changed, or (without a value) left out."""
     doc = copy.deepcopy(w.doc)
     at: Any = doc
@@ -138,7 +140,7 @@
 @pytest.mark.parametrize("path", [("lanes", 1, "deadline"), ("caps", "max_attempts")])
 def test_deadlines_and_attempts_must_be_positive_numbers(path, value):
     """A deadline of 0 would fail every request. Such a file must be rejected."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     doc = changed(w, "settings", *path, value=value)
     w.close()
     with pytest.raises(ConfigError) as error:
@@ -149,7 +151,7 @@
 @pytest.mark.parametrize("text", ["", "{", "[]", "null", "[" * 100_000, '{"settings": 5}', "\udcff"])
 def test_a_broken_file_counts_once_and_changes_nothing(tmp_path, text):
     """The file is no JSON when SIGHUP comes. The old settings must stay, and one failure is counted."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     (tmp_path / "config.json").write_bytes(text.encode("utf-8", "surrogateescape"))
     w.proxy.reload(str(tmp_path / "config.json"))
     assert w.figures()["edge.reload_failure"] == 1
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from network import LANE, SETTINGS, World, create_worlds, free_port
+from network import LANE, SETTINGS, ProxyNetwork, create_networks, free_port
 
 from arrowseam.client_request import DEADLINE_MARGIN
 from arrowseam.net.clock import MS, SECOND, clock
@@ -29,20 +29,20 @@
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
 @pytest.fixture
-def line_world() -> Iterator[Callable[..., World]]:
+def line_world() -> Iterator[Callable[..., ProxyNetwork]]:
     """For tests that do not depend on the wire protocol."""
-    yield from create_worlds("lines")
+    yield from create_networks("lines")
 
 
 class RawClient:
     """A client outside the event loop, so that everything it does happens at once."""
 
-    def __init__(self, w: World) -> None:
+    def __init__(self, w: ProxyNetwork) -> None:
         self.w, self.got, self.reset, self.eof = w, b"", False, False
         self.sock = socket.create_connection(w.address, timeout=5)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -87,7 +87,7 @@
         return self.w.words[word] in self.read()
 
 
-def count_openings(w: World) -> int:
+def count_openings(w: ProxyNetwork) -> int:
     """How many attempts have sent their opening to any endpoint."""
     word = b"OPEN " if w.wire == "lines" else b"CONNECT "
     return sum(word in got for server in w.servers for got in server.heard)
@@ -173,7 +173,7 @@
     assert client.answers == 1
 
 
-def opening_counter(w: World) -> Callable[[], int]:
+def opening_counter(w: ProxyNetwork) -> Callable[[], int]:
     return lambda: count_openings(w)
 
 
@@ -346,7 +346,7 @@
 
 
 def late_connect(
-    w: World, monkeypatch: pytest.MonkeyPatch, act: Callable[[int], Coroutine[None]]
+    w: ProxyNetwork, monkeypatch: pytest.MonkeyPatch, act: Callable[[int], Coroutine[None]]
 ) -> list[int]:
     """Run ``act`` between the choice of an endpoint and the use of its connection."""
     connect, ports = w.loop.connect, {s.listener.address[1] for s in w.servers}
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -20,7 +20,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from network import World
+from network import ProxyNetwork
 
 from arrowseam.config.operator import Operator, Servers
 from arrowseam.endpoint_sources.file_watcher import path_steps
@@ -37,20 +37,22 @@
         self.path, self.wire, self.endpoint_count = path, wire, endpoint_count
         self.source_settings = {"settle_ms": 0, "drain_s": 1, "max_removed": 0.7} | source_settings
         self.generations = itertools.count(1)
-        self.worlds: list[World] = []
+        self.worlds: list[ProxyNetwork] = []
 
-    def create_world(self, *names: str, has_snapshots: bool = False, **options: Any) -> World:
+    def create_world(self, *names: str, has_snapshots: bool = False, **options: Any) -> ProxyNetwork:
         """Create a world whose proxy starts without endpoints, until files name the stand-ins."""
         sources = [
             Servers(file=str(self.path / f"{name}.json"), name=name, **self.source_settings)
             for name in names or ("a",)
         ]
         operator = Operator(servers=tuple(sources), state_dir=str(self.path) if has_snapshots else "")
-        w = World(self.wire, *["up"] * self.endpoint_count, operator=operator, **{"known": False} | options)
+        w = ProxyNetwork(
+            self.wire, *["up"] * self.endpoint_count, operator=operator, **{"known": False} | options
+        )
         self.worlds.append(w)
         return w
 
-    def encode_list(self, w: World, *endpoints: int, generation: bool = False, **fields: Any) -> bytes:
+    def encode_list(self, w: ProxyNetwork, *endpoints: int, generation: bool = False, **fields: Any) -> bytes:
         document: dict[str, Any] = {"instances": [w.servers[n].row | fields for n in endpoints]}
         if generation:
             document["generation"] = next(self.generations)
@@ -62,14 +64,14 @@
         new_file.write_bytes(data)
         os.replace(new_file, self.path / f"{name}.json")
 
-    def replace_accepted(self, w: World, data: bytes, name: str = "a") -> None:
+    def replace_accepted(self, w: ProxyNetwork, data: bytes, name: str = "a") -> None:
         """Replace a file and wait until the list is accepted and published."""
         source = w.proxy.endpoint_sources.merged.sources[name]
         count_before = source.taken_count
         self.replace(data, name)
         w.until(lambda: source.taken_count > count_before and not w.proxy.endpoint_sources.merged.has_changes)
 
-    def await_rejection(self, w: World, act: Callable[[], Any], name: str = "a") -> str:
+    def await_rejection(self, w: ProxyNetwork, act: Callable[[], Any], name: str = "a") -> str:
         """Call ``act`` and return the reason of the rejection that follows."""
         source = w.proxy.endpoint_sources.merged.sources[name]
         count_before, records_before = source.rejections.total(), dict(source.records)
@@ -101,7 +103,7 @@
         w.close()
 
 
-def ready_names(w: World) -> set[str]:
+def ready_names(w: ProxyNetwork) -> set[str]:
     return {
         name for name, record in w.proxy.endpoint_sources.merged.published.items() if record.state == "Ready"
     }
