--- a/tests/network.py
+++ b/tests/network.py
@@ -73,8 +73,8 @@
             "agent": "127.0.0.1:0",
         }
         nats["servers"] = {row["instanceId"]: row["hostPort"] for row in rows}
-        self.second = read_nats_config(json.dumps(nats).encode(), self.config)
-        self.proxy = Proxy(self.loop, self.config, self.second, operator=operator)
+        self.nats_config = read_nats_config(json.dumps(nats).encode(), self.config)
+        self.proxy = Proxy(self.loop, self.config, self.nats_config, operator=operator)
         self.handler, self.driver = self.proxy.request_handler, self.proxy.driver
         self.addresses = {listener.name: listener.address for listener in self.loop.listeners}
         self.address = self.addresses["front" if wire == "lines" else "nats"]
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -425,7 +425,7 @@
 def test_no_attempt_is_made_at_the_proxys_own_address(world):
     """Seen with the example configuration: each attempt came back as a client, 500 within a moment."""
     w = world("up", wire="nats")
-    w.second.overrides["s0"] = w.second.listen
+    w.nats_config.overrides["s0"] = w.nats_config.listen
     client = w.client()
     w.until(lambda: client.ended_at)
     assert client.has("rejected")
