--- a/tests/network.py
+++ b/tests/network.py
@@ -49,7 +49,7 @@
         **changes: Any,
     ) -> None:
         self.wire, self.words, self.loop = wire, PROTOCOL_MESSAGES[wire], EventLoop()
-        self.stood = 0.0  # the longest that a round took, of those last run, in seconds
+        self.longest_round_s = 0.0  # the longest that a round took, of those last run, in seconds
         self.flying = self.most_flying = 0
         self.numbers = itertools.count(1000)  # an id is new with every connection
         self.version, self.told, self.calls = 1, [], []
@@ -135,12 +135,12 @@
     def until(self, condition: Callable[[], Any], seconds: float = 5.0) -> None:
         """Run the world until the condition holds."""
         turn, end = self.handler.run_balancer, time.monotonic() + seconds
-        self.stood, last = 0.0, time.monotonic()
+        self.longest_round_s, last = 0.0, time.monotonic()
 
         def watched(now: int) -> int:
             nonlocal last
             due = turn(now)
-            self.stood, last = max(self.stood, time.monotonic() - last), time.monotonic()
+            self.longest_round_s, last = max(self.longest_round_s, time.monotonic() - last), time.monotonic()
             self.loop.stopped = bool(condition()) or time.monotonic() > end
             return min(due or now + 10_000, now + 10_000)
 
@@ -162,7 +162,7 @@
             self.until(lambda found=found: all(c.answers for c in found))
             if all(c.has("up") for c in found):
                 return found
-            assert self.stood > 0.1, [bytes(c.got) for c in found]
+            assert self.longest_round_s > 0.1, [bytes(c.got) for c in found]
         raise AssertionError("the machine stands still too often")
 
     def close(self) -> None:
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -670,7 +670,7 @@
     try:
         w.until(lambda: bool(flooding) and victim.ended(), 8)
         assert clock() - began < 0.7 * SECOND
-        assert w.stood < 0.3
+        assert w.longest_round_s < 0.3
     finally:
         flood.kill()
         flood.wait()
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -300,7 +300,7 @@
             w.run(0.005)
     published = w.proxy.endpoint_sources.merged.published
     w.until(lambda: all(published[name].weight == 100.0 for name in ("s0", "s1", "s2")))
-    assert w.stood < 0.1
+    assert w.longest_round_s < 0.1
 
 
 def test_a_fifo_a_folder_a_huge_or_world_writable_file_is_rejected_at_once(folder):
