--- a/arrowseam/lab/stand_ins.py
+++ b/arrowseam/lab/stand_ins.py
@@ -27,8 +27,8 @@
     wire: str
     words: dict[str, Any]
     address: Address  # where its clients connect
-    flying: int  # calls that servers have taken and not answered
-    most_flying: int
+    in_flight: int  # calls that servers have taken and not answered
+    max_in_flight: int
 
 
 # The messages of each protocol: the opening, and how each answer begins.
@@ -93,8 +93,8 @@
         self.heard.append(got)
         self.opened_at.append(clock())
         self.live.append(conn)
-        self.world.flying += 1
-        self.world.most_flying = max(self.world.most_flying, self.world.flying)
+        self.world.in_flight += 1
+        self.world.max_in_flight = max(self.world.max_in_flight, self.world.in_flight)
         answered = False
         try:
             yield from self.send(conn, words["half greeting"] if mode == "half" else words["greeting"])
@@ -115,7 +115,7 @@
                         yield from conn.send(words["server " + mode], clock() + SECOND)
                         return
                     answered = True
-                    self.world.flying -= 1
+                    self.world.in_flight -= 1
                     yield from self.send(conn, b"UP r1\r\n" if self.world.wire == "lines" else b"")
                     data = b"" if self.world.wire == "lines" else data
                 if self.world.wire == "lines":
@@ -125,7 +125,7 @@
                     yield from conn.send(words["reply"] * data.count(b"PUB "), clock() + SECOND)
         finally:
             self.live.remove(conn)
-            self.world.flying -= not answered
+            self.world.in_flight -= not answered
 
     def send(self, conn: Connection, data: bytes) -> Coroutine[None]:
         """Send to one connection, in the mode drip byte by byte."""
--- a/arrowseam/lab/traffic.py
+++ b/arrowseam/lab/traffic.py
@@ -23,7 +23,7 @@
 
     def __init__(self, cluster: LocalCluster, wire: str) -> None:
         self.loop, self.wire, self.words = cluster.loop, wire, PROTOCOL_MESSAGES[wire]
-        self.flying = self.most_flying = 0
+        self.in_flight = self.max_in_flight = 0
         self.address: Address = ("", 0)
 
 
--- a/tests/network.py
+++ b/tests/network.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.wire, self.words, self.loop = wire, PROTOCOL_MESSAGES[wire], EventLoop()
         self.longest_round_s = 0.0  # the longest that a round took, of those last run, in seconds
-        self.flying = self.most_flying = 0
+        self.in_flight = self.max_in_flight = 0
         self.numbers = itertools.count(1000)  # an id is new with every connection
         self.version, self.told, self.calls = 1, [], []
         self.bad: bytes | None = None  # what discovery answers in place of a list
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -152,7 +152,7 @@
     for server in w.servers:
         server.mode = "silent"
     w.client()
-    w.until(lambda: w.flying)  # an unanswered attempt keeps the old process alive for a while
+    w.until(lambda: w.in_flight)  # an unanswered attempt keeps the old process alive for a while
     new = proxy.start()
     new_control = w.addresses["control"]
     w.addresses["control"] = old_control  # the old process still runs and takes commands
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -36,7 +36,7 @@
     w2 = world(mode, mode, "up")
     w2.client()
     w2.until(lambda: w2.servers[2].live or sum(len(s.heard) for s in w2.servers) >= 2)
-    assert w2.most_flying == 1
+    assert w2.max_in_flight == 1
 
 
 def test_a_client_that_no_endpoint_accepts_is_rejected_at_once(world):
@@ -151,9 +151,9 @@
 def test_a_client_that_disconnects_early_ends_its_attempt_and_gets_no_other(world):
     w = world("silent", "silent")
     client = w.client()
-    w.until(lambda: w.flying)
+    w.until(lambda: w.in_flight)
     client.conn.close()
-    w.until(lambda: not w.flying and not w.handler.active)
+    w.until(lambda: not w.in_flight and not w.handler.active)
     w.run(0.4)
     assert sum(len(s.heard) for s in w.servers) == 1
     assert not w.driver._requests
@@ -181,7 +181,7 @@
 def test_a_shutdown_answers_requests_that_are_not_established(world):
     w = world("silent")
     client = w.client()
-    w.until(lambda: w.flying)
+    w.until(lambda: w.in_flight)
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at)
     assert client.answers == 1
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -427,7 +427,7 @@
     first.say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
     block(1.0)  # the attempt had 360 ms
     w.run(0.3)
-    assert w.most_flying <= 1
+    assert w.max_in_flight <= 1
     assert count_openings(w) == 1
     assert raw.got.count(w.words["up"]) <= 1
     assert not raw.has("rejected")
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -147,7 +147,7 @@
         client.got.clear()
         client.say(w.words["ask"])
     w.until(lambda: all(c.has("reply") for c in clients))
-    assert w.most_flying <= len(clients)
+    assert w.max_in_flight <= len(clients)
 
 
 def test_a_removed_endpoint_gets_no_new_clients_and_its_own_are_migrated(create_folder):
