--- a/tests/network.py
+++ b/tests/network.py
@@ -52,7 +52,7 @@
         self.longest_round_s = 0.0  # the longest that a round took, of those last run, in seconds
         self.in_flight = self.max_in_flight = 0
         self.numbers = itertools.count(1000)  # an id is new with every connection
-        self.version, self.told, self.calls = 1, [], []
+        self.version, self.endpoint_rows, self.calls = 1, [], []
         self.bad: bytes | None = None  # what discovery answers in place of a list
         self.servers = [StandInEndpoint(self, f"s{n}", mode) for n, mode in enumerate(modes)]
         asked = listen(self.loop, ("127.0.0.1", 0), "directory", self._discovery).address[1]
@@ -88,7 +88,7 @@
             while since and int(since[1]) >= self.version and self.bad is None:
                 yield clock() + 5000
             text = json.dumps(
-                {"generation": self.version, "reset": not since, "instances": self.told}
+                {"generation": self.version, "reset": not since, "instances": self.endpoint_rows}
             ).encode()
             text = self.bad if self.bad is not None else text
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text)
@@ -126,7 +126,9 @@
 
     def tell(self, **rows: dict[str, Any]) -> None:
         """Discovery's list changes: fields by server."""
-        self.told = [server.row | rows[server.name] for server in self.servers if server.name in rows]
+        self.endpoint_rows = [
+            server.row | rows[server.name] for server in self.servers if server.name in rows
+        ]
         self.version += 1
 
     def client(self, number: int = 1, klass: bytes = b"tech", more: bytes = b"") -> StandInClient:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -175,7 +175,7 @@
 def test_a_complete_list_asked_for_during_a_poll_is_fetched_after_it(world, tmp_path):
     """A reload numbers the zones anew while a poll runs: the endpoints kept their old zones."""
     w = world("up")
-    w.told = [w.servers[0].row]
+    w.endpoint_rows = [w.servers[0].row]
     w.until(lambda: w.calls and "since=" in w.calls[-1][1])
     (endpoint,) = w.driver.balancer.endpoints.by_id.values()
     assert endpoint.zone == 0
