--- a/tests/network.py
+++ b/tests/network.py
@@ -53,7 +53,7 @@
         self.in_flight = self.max_in_flight = 0
         self.numbers = itertools.count(1000)  # an id is new with every connection
         self.version, self.endpoint_rows, self.calls = 1, [], []
-        self.bad: bytes | None = None  # what discovery answers in place of a list
+        self.raw_response: bytes | None = None  # what discovery answers in place of a list
         self.servers = [StandInEndpoint(self, f"s{n}", mode) for n, mode in enumerate(modes)]
         asked = listen(self.loop, ("127.0.0.1", 0), "directory", self._discovery).address[1]
         rows = [server.row for server in self.servers]
@@ -85,12 +85,12 @@
                 continue
             self.calls.append((clock(), line.split()[1].decode()))
             since = re.search(rb"since=(\d+)", line)
-            while since and int(since[1]) >= self.version and self.bad is None:
+            while since and int(since[1]) >= self.version and self.raw_response is None:
                 yield clock() + 5000
             text = json.dumps(
                 {"generation": self.version, "reset": not since, "instances": self.endpoint_rows}
             ).encode()
-            text = self.bad if self.bad is not None else text
+            text = self.raw_response if self.raw_response is not None else text
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text)
             yield from conn.send(head + text, clock() + SECOND)
 
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -519,11 +519,11 @@
 @pytest.mark.parametrize("response", [b"[1]", b"{nonsense", b'{"instances":[{}]}'])
 def test_an_invalid_response_leaves_the_list_and_counts_as_a_failed_call(world, response):
     w = world("up")
-    w.bad = response
+    w.raw_response = response
     w.until(lambda: w.driver.balancer.poller.failures)
     assert w.driver.ready_count == 1
     w.up()
-    w.bad = None
+    w.raw_response = None
     w.until(lambda: w.driver.balancer.poller.subscribed or w.calls[-1][0] > w.calls[0][0])
 
 
