--- a/tests/network.py
+++ b/tests/network.py
@@ -116,7 +116,7 @@
         self.until(lambda: answer() is not None)
         return answer() or b""
 
-    def figures(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """What ``counters`` tells."""
         *lines, end = self.control(b"counters\r\n").decode().splitlines()
         assert end == "--"
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -127,7 +127,7 @@
     w.servers[0].mode = "busy"
     turned = [w.client(next(w.numbers), b"resident") for _ in range(5)]
     w.until(lambda: all(c.ended_at for c in turned))
-    found = w.figures()
+    found = w.counters()
     assert found["edge.replies.tech.success"] == len(served)
     assert found["edge.replies.resident.overload"] == sum(c.has("rejected") for c in turned)
     assert found["edge.replies.resident.error"] == sum(c.has("failed") for c in turned)
@@ -138,7 +138,7 @@
     assert found["edge.targets"] == 3
     served[0].conn.close()
     w.until(lambda: len(w.handler.active) == len(served) - 1)
-    assert w.figures()["edge.concurrent"] == len(served) - 1
+    assert w.counters()["edge.concurrent"] == len(served) - 1
 
 
 def test_a_cordoned_server_is_sent_nothing_and_its_clients_are_moved(world):
@@ -151,7 +151,7 @@
     assert before
     for _ in range(2):
         assert w.control(b"cordon s0\r\n") == b"ACK\n"
-    assert w.figures()["edge.targets_disabled"] == 1
+    assert w.counters()["edge.targets_disabled"] == 1
     # Neither a list nor a restart of the server ends it.
     w.tell(s0={"startedAtMs": 1_700_000_000_000}, s1={})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
@@ -159,7 +159,7 @@
     w.until(lambda: not w.servers[0].live, 8)
     assert len(w.servers[0].heard) == before
     assert w.control(b"uncordon s0\r\n") == b"ACK\n"  # one call back undoes both
-    assert w.figures()["edge.targets_disabled"] == 0
+    assert w.counters()["edge.targets_disabled"] == 0
     w.up(20)
     w.until(lambda: len(w.servers[0].heard) > before)
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -257,11 +257,11 @@
         client.say(w.words["ask"])
     w.until(lambda: all(c.has("reply") for c in clients))
     assert not any(c.ended_at or c.has("moved") for c in clients)
-    counters = w.figures()
+    counters = w.counters()
     assert counters["edge.concurrent"] == 20
     assert counters["edge.replies.tech.success"] == 0
     clients[0].conn.close()  # a client that disconnects is no longer counted at the new process
-    w.until(lambda: w.figures()["edge.concurrent"] == 19)
+    w.until(lambda: w.counters()["edge.concurrent"] == 19)
     new.send_signal(signal.SIGTERM)  # a drain of the new process migrates the others
     w.until(lambda: all(c.ended_at for c in clients[1:]))
     assert all(c.has("moved") for c in clients[1:])
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -47,7 +47,7 @@
     place = {user: {"class": user, "tenant": "acme"} for user in users}
     (folder / "nats.json").write_text(json.dumps(w.nats | {"users": place}))
     w.proxy.reload(str(folder / "config.json"), str(folder / "nats.json"))
-    return w.figures()
+    return w.counters()
 
 
 def changed(w: ProxyNetwork, *path: Any, value: Any = None) -> dict[str, Any]:
@@ -79,7 +79,7 @@
     late = w.client(77, b"resident")
     w.until(lambda: late.ended_at)
     assert not late.has("up")
-    found = w.figures()
+    found = w.counters()
     assert found["edge.replies.bulk.success"] == 2
     assert found["edge.replies.resident.success"] == 1  # dropped classes keep their figures
     (stands,) = [j for j in w.driver.balancer.requests.by_id.values() if j.request_class.deadline == 600000]
@@ -154,7 +154,7 @@
     w = ProxyNetwork("lines", "up")
     (tmp_path / "config.json").write_bytes(text.encode("utf-8", "surrogateescape"))
     w.proxy.reload(str(tmp_path / "config.json"))
-    assert w.figures()["edge.reload_failure"] == 1
+    assert w.counters()["edge.reload_failure"] == 1
     assert w.up()
     w.close()
 
@@ -193,7 +193,7 @@
     for n in range(3):
         client = w.client(n)
         w.until(lambda: client.ended_at)  # noqa: B023
-    assert w.figures()["edge.dispatches"] == 3
+    assert w.counters()["edge.dispatches"] == 3
 
 
 # --- the module by itself ---------------------------------------------------------------------------------
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -182,7 +182,7 @@
     folder.replace_accepted(w, json.dumps({"instances": rows}).encode())
     w.up(1)
     assert len(w.servers[1].live) == 1  # the first connection is drawn by weight alone
-    counters = w.figures()
+    counters = w.counters()
     assert counters["edge.sources.a.servers"] == 3
     assert counters["edge.members"] == 3
 
