--- a/tests/network.py
+++ b/tests/network.py
@@ -124,7 +124,7 @@
         assert all(found)
         return {match[1]: int(match[2]) for match in found if match}
 
-    def tell(self, **rows: dict[str, Any]) -> None:
+    def update_list(self, **rows: dict[str, Any]) -> None:
         """Discovery's list changes: fields by server."""
         self.endpoint_rows = [
             server.row | rows[server.name] for server in self.servers if server.name in rows
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -69,7 +69,7 @@
     """
     w = ProxyNetwork("lines", "up", known=False)
     assert w.control(b"health\n").startswith(b"NAK")
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(lambda: w.driver.endpoint_count)
     assert w.control(b"health\n").startswith(b"ACK")
     w.handler.shutdown.is_draining = True
@@ -153,7 +153,7 @@
         assert w.control(b"cordon s0\r\n") == b"ACK\n"
     assert w.counters()["edge.targets_disabled"] == 1
     # Neither a list nor a restart of the server ends it.
-    w.tell(s0={"startedAtMs": 1_700_000_000_000}, s1={})
+    w.update_list(s0={"startedAtMs": 1_700_000_000_000}, s1={})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     w.up(10)
     w.until(lambda: not w.servers[0].live, 8)
--- a/tests/test_discovery_failures.py
+++ b/tests/test_discovery_failures.py
@@ -374,11 +374,11 @@
 def test_an_agent_is_polled_from_the_start(line_world):
     """It was never polled: the proxy kept the list of its start for its whole life."""
     w = create_agent_world(line_world, "up", "up")
-    w.tell(s0={"lifecycle": "Terminating"}, s1={})
+    w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     began = clock()
     w.until(lambda: w.driver.ready_count == 1)
     assert clock() - began < SECOND // 2
-    w.tell(s0={}, s1={})
+    w.update_list(s0={}, s1={})
     w.until(lambda: w.driver.ready_count == 2)
     assert clock() - began < SECOND
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -196,7 +196,7 @@
     w = proxy.world
     proxy.start()
     w.until(lambda: w.calls)
-    w.tell(s0={"lifecycle": "Terminating"}, s1={})
+    w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     calls = len(w.calls)
     proxy.start()
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -509,7 +509,7 @@
     w = world("up")
     w.until(lambda: w.calls)
     assert "since=1&" in w.calls[0][1]
-    w.tell(s0={"lifecycle": "Terminating"})
+    w.update_list(s0={"lifecycle": "Terminating"})
     changed_at = clock()
     w.until(lambda: len(w.calls) == 2)
     assert "since=2&" in w.calls[1][1]
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -62,7 +62,7 @@
     w = world("up", "up")
     w.up()
     w.until(lambda: w.calls)
-    w.tell(s0={"lifecycle": "Terminating"})
+    w.update_list(s0={"lifecycle": "Terminating"})
     w.until(lambda: w.driver.ready_count == 1)
     before = len(w.servers[0].heard)
     w.up(20)
@@ -73,7 +73,7 @@
     """It has 2% of its capacity at first, and twice that would overload it."""
     w = world("up", "up", invariants=SETTINGS["invariants"] | {"cold_share": 0.02, "fall_multiple": 2.0})
     w.up(20)
-    w.tell(s0={"startedAtMs": int(time.time() * 1000)})
+    w.update_list(s0={"startedAtMs": int(time.time() * 1000)})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     before = len(w.servers[0].heard), len(w.servers[1].heard)
     w.up(40)
@@ -271,7 +271,7 @@
     old, calls = w.proxy.discovery.http_client.conn, len(w.calls)
     assert old is not None
     assert not old.closed
-    w.tell(s0={"lifecycle": "Terminating"}, s1={})
+    w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     w.version = 0  # the new service has its own versions
     address = listen(w.loop, ("127.0.0.1", 0), "the new discovery", w._discovery).address
     path.write_text(json.dumps(w.doc | {"discovery": f"{address[0]}:{address[1]}"}))
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -182,14 +182,14 @@
     w = world("busy", "up", known=False)
     client = w.client()
     w.until(lambda: w.handler.active)
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(opening_counter(w))
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at)
     assert client.has("rejected")
     assert client.answers == 1
     assert count_openings(w) == 1
-    w.tell(s1={})
+    w.update_list(s1={})
     w.until(lambda: w.handler.shutdown.is_closing)
     assert not w.servers[1].heard
 
@@ -280,7 +280,7 @@
     raw = RawClient(w).open()
     w.until(lambda: w.handler.active)
     raw.leave(how)
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(lambda: not w.handler.active and w.driver.ready_count)
     w.run(0.2)
     assert not count_openings(w)
@@ -371,7 +371,7 @@
     def drains(call: int) -> Coroutine[None]:
         if call == 1:
             name = next(s.name for s in w.servers if s.listener.address[1] == calls[0])
-            w.tell(**{name: {"lifecycle": "Terminating"}})
+            w.update_list(**{name: {"lifecycle": "Terminating"}})
             while w.driver.ready_count == 2:
                 yield clock() + MS
 
@@ -408,7 +408,7 @@
     w = world("up", "up", known=False)
     raw = RawClient(w).open()
     w.until(lambda: w.handler.active)
-    w.tell(s0={"lifecycle": "Terminating"}, s1={})
+    w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     w.until(lambda: raw.has("up"))
     assert not w.servers[0].heard
     assert len(w.servers[1].heard) == 1
@@ -625,7 +625,7 @@
     queued = len(w.handler.active)
     assert queued >= 5
     assert 2 * queued <= free - 8
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(lambda: sum(c.has("up") for c in clients) == queued)
 
 
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -210,16 +210,16 @@
     """The file's row wins, either source may drain an endpoint, and either alone keeps it in the list."""
     folder = create_folder()
     w = folder.create_world()
-    w.tell(s0={}, s1={"weight": 5.0})
+    w.update_list(s0={}, s1={"weight": 5.0})
     w.until(lambda: ready_names(w) == {"s0", "s1"})
     folder.replace_accepted(w, folder.encode_list(w, 0, 2, weight=3.0))
     w.until(lambda: ready_names(w) == {"s0", "s1", "s2"})
     published = w.proxy.endpoint_sources.merged.published
     assert published["s0"].weight == 3.0
     assert published["s1"].weight == 5.0
-    w.tell(s0={"lifecycle": "Terminating"})
+    w.update_list(s0={"lifecycle": "Terminating"})
     w.until(lambda: ready_names(w) == {"s1", "s2"})
-    w.tell(s0={"lifecycle": "Gone"}, s1={"lifecycle": "Gone"})
+    w.update_list(s0={"lifecycle": "Gone"}, s1={"lifecycle": "Gone"})
     w.until(lambda: ready_names(w) == {"s0", "s2"})
     assert w.control(b"cordon s0\n") == b"ACK\n"
     folder.replace_accepted(w, folder.encode_list(w, 0, 2, weight=4.0))
