--- a/arrowseam/lab/stand_ins.py
+++ b/arrowseam/lab/stand_ins.py
@@ -80,7 +80,7 @@
 
     def __init__(self, world: StandInNetwork, name: str, mode: str) -> None:
         self.world, self.name, self.mode = world, name, mode
-        self.heard: list[bytearray] = []  # all that came, a connection each
+        self.received: list[bytearray] = []  # all that came, a connection each
         self.live: list[Connection] = []
         self.opened_at: list[int] = []
         self.listener = listen(world.loop, ("127.0.0.1", 0), name, self.serve)
@@ -90,7 +90,7 @@
     def serve(self, conn: Connection) -> Coroutine[None]:
         """Serve one connection as ``mode`` says."""
         words, mode, got = self.world.words, self.mode, bytearray()
-        self.heard.append(got)
+        self.received.append(got)
         self.opened_at.append(clock())
         self.live.append(conn)
         self.world.in_flight += 1
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -132,7 +132,7 @@
     assert found["edge.replies.resident.overload"] == sum(c.has("rejected") for c in turned)
     assert found["edge.replies.resident.error"] == sum(c.has("failed") for c in turned)
     words = b"OPEN " if w.wire == "lines" else b"CONNECT "
-    heard = sum(words in got for server in w.servers for got in server.heard)
+    heard = sum(words in got for server in w.servers for got in server.received)
     assert found["edge.dispatches"] == heard
     assert found["edge.concurrent"] == len(served)
     assert found["edge.targets"] == 3
@@ -147,7 +147,7 @@
     """
     w = world("up", "up")
     w.up(12)
-    before = len(w.servers[0].heard)
+    before = len(w.servers[0].received)
     assert before
     for _ in range(2):
         assert w.control(b"cordon s0\r\n") == b"ACK\n"
@@ -157,11 +157,11 @@
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     w.up(10)
     w.until(lambda: not w.servers[0].live, 8)
-    assert len(w.servers[0].heard) == before
+    assert len(w.servers[0].received) == before
     assert w.control(b"uncordon s0\r\n") == b"ACK\n"  # one call back undoes both
     assert w.counters()["edge.targets_disabled"] == 0
     w.up(20)
-    w.until(lambda: len(w.servers[0].heard) > before)
+    w.until(lambda: len(w.servers[0].received) > before)
 
 
 def test_a_call_that_has_written_nothing_is_called_off_by_a_cordon(world):
@@ -184,7 +184,7 @@
     assert client.has("up")
     assert picked[0] != picked[1]
     first = w.servers[int(picked[0][1])]
-    assert not any(b"OPEN" in got or b"CONNECT" in got for got in first.heard)
+    assert not any(b"OPEN" in got or b"CONNECT" in got for got in first.received)
     assert not w.driver.balancer.outliers.failing  # it is no fault of the server's
 
 
@@ -207,7 +207,7 @@
     client = w.client()
     w.until(lambda: client.answers)
     assert client.has("up")
-    assert not w.servers[int(chosen[0][1])].heard
+    assert not w.servers[int(chosen[0][1])].received
 
 
 # --- the module by itself ---------------------------------------------------------------------------------
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -162,15 +162,15 @@
     w.run(0.2)
     for server in w.servers:
         server.mode = "up"
-    before = len(w.servers[1].heard)
+    before = len(w.servers[1].received)
     w.up(10)
-    assert len(w.servers[1].heard) == before
+    assert len(w.servers[1].received) == before
     for process in (old, new):
         process.kill()
         process.wait()
     proxy.start()
     w.up(10)
-    assert len(w.servers[1].heard) == before
+    assert len(w.servers[1].received) == before
     assert proxy.call(b"uncordon s1\n") == b"ACK\n"
     assert not CordonFile(proxy.folder, "n0", proxy.config["listen"]).load()
 
@@ -200,10 +200,10 @@
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     calls = len(w.calls)
     proxy.start()
-    before = len(w.servers[0].heard)
+    before = len(w.servers[0].received)
     w.until(lambda: len(w.calls) > calls, 2)
     w.up(10)
-    assert len(w.servers[0].heard) == before
+    assert len(w.servers[0].received) == before
     assert all("since=2" in target for _, target in w.calls[calls:])
 
 
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -147,7 +147,7 @@
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
-    assert not w.servers[0].heard
+    assert not w.servers[0].received
 
 
 def test_the_fields_of_an_opening_reach_the_request():
@@ -181,7 +181,7 @@
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
-    assert not w.servers[0].heard
+    assert not w.servers[0].received
 
 
 def test_no_client_waits_longer_than_its_class_allows():
@@ -200,7 +200,7 @@
     w.until(lambda: second.ended_at)
     assert bytes(second.got) == b"ERR\r\n"
     assert not first.ended_at
-    assert len(w.servers[0].heard) == 1
+    assert len(w.servers[0].received) == 1
     first.say(b"still here\r\n")
     w.until(lambda: b"still here" in first.got)
     first.conn.close()
@@ -228,8 +228,10 @@
     w = world("silent", "up")
     for n in range(4):
         w.client(n)
-    w.until(lambda: w.servers[1].heard)
-    (is_bounded,) = {int(got.split(b"d=")[1].split(b"\r")[0]) <= 1785 for s in w.servers for got in s.heard}
+    w.until(lambda: w.servers[1].received)
+    (is_bounded,) = {
+        int(got.split(b"d=")[1].split(b"\r")[0]) <= 1785 for s in w.servers for got in s.received
+    }
     assert is_bounded
 
 
@@ -239,8 +241,8 @@
     w.words = w.words | {"open": lambda n, klass: line % n}
     clients = [w.client(n) for n in range(5)]
     w.until(lambda: all(c.has("up") for c in clients))
-    assert [len(s.heard) for s in w.servers] == [0, 0, 5]
-    assert all(b"at=s2" in got for got in w.servers[2].heard)
+    assert [len(s.received) for s in w.servers] == [0, 0, 5]
+    assert all(b"at=s2" in got for got in w.servers[2].received)
     endpoints = w.driver.balancer.endpoints.by_id
     assert endpoints[w.driver.endpoint_ids["s2"]].in_flight == 5
 
@@ -354,7 +356,7 @@
     client.say(data)
     w.until(lambda: client.ended_at and not w.handler.active)
     assert bytes(client.got).endswith(b"-ERR '%s'\r\n" % text.encode())
-    assert w.servers[0].heard[0].endswith(b"PING\r\nPING\r\n")
+    assert w.servers[0].received[0].endswith(b"PING\r\nPING\r\n")
 
 
 @pytest.mark.parametrize(
@@ -415,11 +417,11 @@
     (client,) = w.up()
     first_part = b"PUB a 100000\r\n" + b"x" * 80000
     w.loop.start_task(client.conn.send(first_part, clock() + SECOND), "half a message")
-    w.until(lambda: len(w.servers[0].heard[0]) > 50000)
+    w.until(lambda: len(w.servers[0].received[0]) > 50000)
     w.run(0.5)
     assert not client.ended_at
     w.loop.start_task(client.conn.send(b"x" * 20000 + b"\r\n", clock() + SECOND), "the rest")
-    w.until(lambda: w.servers[0].heard[0].endswith(b"x\r\nPING\r\n"))
+    w.until(lambda: w.servers[0].received[0].endswith(b"x\r\nPING\r\n"))
 
 
 def test_no_attempt_is_made_at_the_proxys_own_address(world):
@@ -435,7 +437,7 @@
 def test_the_proxys_pings_keep_the_connection_of_an_idle_client(world):
     w = world("up", wire="nats")
     (client,) = w.up()
-    w.until(lambda: w.servers[0].heard[0].count(b"PING") == 3)
+    w.until(lambda: w.servers[0].received[0].count(b"PING") == 3)
     w.run(0.1)
     assert bytes(client.got).count(b"PONG") == 1
     assert not client.ended_at
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -35,7 +35,7 @@
     # No earlier attempt may be open when the next begins: one client, one attempt.
     w2 = world(mode, mode, "up")
     w2.client()
-    w2.until(lambda: w2.servers[2].live or sum(len(s.heard) for s in w2.servers) >= 2)
+    w2.until(lambda: w2.servers[2].live or sum(len(s.received) for s in w2.servers) >= 2)
     assert w2.max_in_flight == 1
 
 
@@ -64,9 +64,9 @@
     w.until(lambda: w.calls)
     w.update_list(s0={"lifecycle": "Terminating"})
     w.until(lambda: w.driver.ready_count == 1)
-    before = len(w.servers[0].heard)
+    before = len(w.servers[0].received)
     w.up(20)
-    assert len(w.servers[0].heard) == before
+    assert len(w.servers[0].received) == before
 
 
 def test_a_cold_endpoint_gets_fewer_connections(world):
@@ -75,9 +75,9 @@
     w.up(20)
     w.update_list(s0={"startedAtMs": int(time.time() * 1000)})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
-    before = len(w.servers[0].heard), len(w.servers[1].heard)
+    before = len(w.servers[0].received), len(w.servers[1].received)
     w.up(40)
-    assert 3 * (len(w.servers[0].heard) - before[0]) < len(w.servers[1].heard) - before[1]
+    assert 3 * (len(w.servers[0].received) - before[0]) < len(w.servers[1].received) - before[1]
 
 
 def test_messages_are_forwarded_both_ways(world):
@@ -85,7 +85,7 @@
     (client,) = w.up()
     client.say(w.words["ask"])
     w.until(lambda: client.has("reply"))
-    assert w.words["ask"] in w.servers[0].heard[0]
+    assert w.words["ask"] in w.servers[0].received[0]
 
 
 def test_large_messages_arrive_complete_at_a_slow_reader(world):
@@ -155,7 +155,7 @@
     client.conn.close()
     w.until(lambda: not w.in_flight and not w.handler.active)
     w.run(0.4)
-    assert sum(len(s.heard) for s in w.servers) == 1
+    assert sum(len(s.received) for s in w.servers) == 1
     assert not w.driver._requests
 
 
@@ -164,14 +164,14 @@
     w = world("up", "up")
     clients = w.up(12)
     w.handler.shutdown.begin()
-    heard = sum(len(s.heard) for s in w.servers)
+    heard = sum(len(s.received) for s in w.servers)
     late = w.client(99)
     w.until(lambda: late.ended_at)
     assert late.has("rejected")
     assert late.answers == 1
     assert late.ended_at - late.began < SECOND // 2
     w.until(lambda: not w.handler.active and w.loop.stopped)
-    assert sum(len(s.heard) for s in w.servers) == heard
+    assert sum(len(s.received) for s in w.servers) == heard
     ends = sorted(c.ended_at - late.began for c in clients)
     assert all(c.has("moved") for c in clients)
     assert ends[-1] < (1.8 + 0.7) * SECOND
@@ -194,7 +194,7 @@
     client = w.client()
     w.until(lambda: client.ended_at)
     assert client.has("rejected")
-    assert not w.servers[0].heard
+    assert not w.servers[0].received
 
 
 def test_idle_clients_are_rejected_in_place_of_new_ones(world):
@@ -306,9 +306,9 @@
     w.until(lambda: client.answers)
     if client.has("up"):
         w.until(lambda: client.has("reply") if w.wire == "nats" else b"early" in client.got)
-    heard = Counter(s.name for s in w.servers for got in s.heard if early in got)
+    heard = Counter(s.name for s in w.servers for got in s.received if early in got)
     assert heard == ({"s3": 1} if client.has("up") else {})
-    assert sum(bytes(got).count(early) for got in w.servers[3].heard) == heard["s3"]
+    assert sum(bytes(got).count(early) for got in w.servers[3].received) == heard["s3"]
 
 
 def test_messages_may_be_split_at_any_byte(world):
@@ -341,7 +341,7 @@
     ask = w.words["ask"]
     send_split(ask, lambda n, part: clients[n].say(part))
     w.until(lambda: sum(c.has("reply") for c in clients.values()) == len(ask) - 1)
-    assert sum(ask in got for got in server.heard) == len(ask) - 1
+    assert sum(ask in got for got in server.received) == len(ask) - 1
     assert sum(len(c.got) > b for c, b in zip(clients.values(), before)) == len(ask) - 1
     for client in clients.values():
         client.got.clear()
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -90,7 +90,7 @@
 def count_openings(w: ProxyNetwork) -> int:
     """How many attempts have sent their opening to any endpoint."""
     word = b"OPEN " if w.wire == "lines" else b"CONNECT "
-    return sum(word in got for server in w.servers for got in server.heard)
+    return sum(word in got for server in w.servers for got in server.received)
 
 
 def block(seconds: float) -> None:
@@ -191,7 +191,7 @@
     assert count_openings(w) == 1
     w.update_list(s1={})
     w.until(lambda: w.handler.shutdown.is_closing)
-    assert not w.servers[1].heard
+    assert not w.servers[1].received
 
 
 def test_a_request_that_cannot_have_run_is_rejected_at_the_shutdown_whatever_its_class(world):
@@ -380,7 +380,7 @@
     w.until(lambda: raw.has("up"))
     first = next(s for s in w.servers if s.listener.address[1] == calls[0])
     word = b"OPEN " if w.wire == "lines" else b"CONNECT "
-    assert not any(word in got for got in first.heard)
+    assert not any(word in got for got in first.received)
     assert count_openings(w) == 1
     assert not w.driver.balancer.outliers.failing  # it is no failure of the endpoint
 
@@ -410,8 +410,8 @@
     w.until(lambda: w.handler.active)
     w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     w.until(lambda: raw.has("up"))
-    assert not w.servers[0].heard
-    assert len(w.servers[1].heard) == 1
+    assert not w.servers[0].received
+    assert len(w.servers[1].received) == 1
 
 
 # --- the end of an attempt --------------------------------------------------------------------------------
@@ -423,7 +423,7 @@
     w = world("silent", "silent")
     raw = RawClient(w).open()
     w.until(opening_counter(w))
-    first = next(s for s in w.servers if s.heard)
+    first = next(s for s in w.servers if s.received)
     first.say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
     block(1.0)  # the attempt had 360 ms
     w.run(0.3)
@@ -475,7 +475,7 @@
     def broken_off() -> bool:
         for server in w.servers[:2]:
             for conn in list(server.live):
-                if any(b"OPEN" in got for got in server.heard) and not conn.closed:
+                if any(b"OPEN" in got for got in server.received) and not conn.closed:
                     conn.write(answer)
                     conn.close(reset=reset)
         return client.answers > 0
@@ -581,7 +581,7 @@
     w.until(lambda: raw.has("up"))
     messages = [w.words["half"] + w.words["rest"]] * 20 if side == "server" else [w.words["ask"]] * 20
     w.until(lambda: w.servers[0].live)
-    got = w.servers[0].heard[0]
+    got = w.servers[0].received[0]
     if side == "server":
         conn = w.servers[0].live[0]
         for message in messages:
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -121,7 +121,7 @@
     folder.replace_accepted(w, folder.encode_list(w, 0, 1, generation=True))
     clients, valid = w.up(8), folder.encode_list(w, 0, 1, weight=2.0, generation=True)
     source = w.proxy.endpoint_sources.merged.sources["a"]
-    heard_before = [len(s.heard) for s in w.servers]
+    heard_before = [len(s.received) for s in w.servers]
     invalid = [valid[:size] for size in range(len(valid))]
     for old, new in (
         (b"2.0", b"0"), (b"2.0", b"-1"), (b"2.0", b"NaN"), (b"2.0", b"1e999"), (b"2.0", b"1e9"),
@@ -140,7 +140,7 @@
             clients += w.up(1)
     assert source.taken_count == 1
     assert len(source.records) == 2
-    assert len(w.servers[2].heard) == heard_before[2] == 0
+    assert len(w.servers[2].received) == heard_before[2] == 0
     assert not any(c.ended_at for c in clients)
     folder.replace_accepted(w, valid)
     for client in clients:
