--- a/arrowseam/lab/stand_ins.py
+++ b/arrowseam/lab/stand_ins.py
@@ -136,7 +136,7 @@
             while size < len(data) and clock() < pause:
                 yield pause
 
-    def say(self, data: bytes) -> None:
+    def send_to_all(self, data: bytes) -> None:
         """Send to all connections at once."""
         for conn in self.live:
             assert conn.write(data) == len(data)
@@ -167,7 +167,7 @@
         self.ended_at = clock()
         conn.close()
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Send at once."""
         assert self.conn is not None
         assert self.conn.write(data) == len(data)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -245,16 +245,16 @@
     old = proxy.start()
     clients = w.up(20)
     for server in w.servers:
-        server.say(w.words["half"])
+        server.send_to_all(w.words["half"])
     w.run(0.1)
     new = proxy.start()
     w.until(lambda: old.poll() == 0, 4)
     for server in w.servers:
-        server.say(w.words["rest"])
+        server.send_to_all(w.words["rest"])
     message = w.words["half"] + w.words["rest"]
     w.until(lambda: all(message in c.got for c in clients))
     for client in clients:
-        client.say(w.words["ask"])
+        client.send(w.words["ask"])
     w.until(lambda: all(c.has("reply") for c in clients))
     assert not any(c.ended_at or c.has("moved") for c in clients)
     counters = w.counters()
@@ -290,7 +290,7 @@
     (server,) = [s for s in w.servers if s.live]
     size = 200_000
     head = b"MSG a 1 %d\r\n" % size if w.wire == "nats" else b""
-    server.say(head + b"x" * 40_000)
+    server.send_to_all(head + b"x" * 40_000)
     w.until(lambda: len(client.got) > 10_000)
     proxy.start()
     w.run(0.1)
--- a/tests/test_optional_reports.py
+++ b/tests/test_optional_reports.py
@@ -205,7 +205,7 @@
         notify = driver._notify
         driver._notify = lambda *events: (received.extend(events), notify(*events))[1]
         world.up()
-        world.servers[0].say(b"LOAD 125.5\r\n")
+        world.servers[0].send_to_all(b"LOAD 125.5\r\n")
         world.run(0.1)
         reports = [e for e in received if isinstance(e, (LoadReported, LatencyReported))]
         assert [isinstance(n, LoadReported) for n in reports] == [True] * reports_load + [
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -201,7 +201,7 @@
     assert bytes(second.got) == b"ERR\r\n"
     assert not first.ended_at
     assert len(w.servers[0].received) == 1
-    first.say(b"still here\r\n")
+    first.send(b"still here\r\n")
     w.until(lambda: b"still here" in first.got)
     first.conn.close()
     w.until(lambda: not w.handler.active)
@@ -265,7 +265,7 @@
         w.driver, "report_outcome", lambda request, end: (outcomes.append(end), report(request, end))
     )
     (client,) = w.up()
-    w.servers[0].say(line)
+    w.servers[0].send_to_all(line)
     w.until(lambda: line in client.got)
     if load is not None:
         assert next(iter(w.driver.balancer.requests.by_id.values())).load == load
@@ -353,7 +353,7 @@
         )
     w = world("up", wire="nats")
     (client,) = w.up()
-    client.say(data)
+    client.send(data)
     w.until(lambda: client.ended_at and not w.handler.active)
     assert bytes(client.got).endswith(b"-ERR '%s'\r\n" % text.encode())
     assert w.servers[0].received[0].endswith(b"PING\r\nPING\r\n")
@@ -402,7 +402,7 @@
 def test_lame_duck_mode_of_an_endpoint_migrates_its_client(world):
     w = world("up", wire="nats")
     (client,) = w.up()
-    w.servers[0].say(b'MSG a 1 2\r\nhi\r\nINFO {"ldm":true,"connect_urls":["10.0.0.1:4222"]}\r\n')
+    w.servers[0].send_to_all(b'MSG a 1 2\r\nhi\r\nINFO {"ldm":true,"connect_urls":["10.0.0.1:4222"]}\r\n')
     w.until(lambda: client.ended_at and not w.handler.active)
     assert client.has("moved")
     assert b"connect_urls" not in client.got
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -83,7 +83,7 @@
 def test_messages_are_forwarded_both_ways(world):
     w = world("up")
     (client,) = w.up()
-    client.say(w.words["ask"])
+    client.send(w.words["ask"])
     w.until(lambda: client.has("reply"))
     assert w.words["ask"] in w.servers[0].received[0]
 
@@ -108,13 +108,13 @@
 def test_the_migration_message_goes_between_two_messages(world):
     w = world("up")
     (client,) = w.up()
-    w.servers[0].say(w.words["half"])
+    w.servers[0].send_to_all(w.words["half"])
     (request,) = w.handler.active.values()
     request.migration_requested = True
     request.wake()
     w.run(0.05)
     assert not client.has("moved")
-    w.servers[0].say(w.words["rest"])
+    w.servers[0].send_to_all(w.words["rest"])
     w.until(lambda: client.ended_at)
     text = bytes(client.got)
     assert text.index(w.words["half"] + w.words["rest"]) < text.index(w.words["moved"])
@@ -125,7 +125,7 @@
 def test_a_client_is_migrated_from_an_endpoint_that_does_not_reply(world):
     w = world("deaf")
     (client,) = w.up()
-    client.say(w.words["ask"])
+    client.send(w.words["ask"])
     w.until(lambda: client.ended_at)
     assert client.has("moved")
     assert client.ended_at - client.began < 4 * SECOND
@@ -329,7 +329,7 @@
 
     def open_or_send(n: int, part: bytes) -> None:
         if n in clients:
-            clients[n].say(w.words["open"](n, b"tech")[n:])
+            clients[n].send(w.words["open"](n, b"tech")[n:])
         else:
             clients[n] = StandInClient(w, w.words["open"](n, b"tech")[:n])
 
@@ -339,7 +339,7 @@
     server.mode = "up"
     before = [len(c.got) for c in clients.values()]
     ask = w.words["ask"]
-    send_split(ask, lambda n, part: clients[n].say(part))
+    send_split(ask, lambda n, part: clients[n].send(part))
     w.until(lambda: sum(c.has("reply") for c in clients.values()) == len(ask) - 1)
     assert sum(ask in got for got in server.received) == len(ask) - 1
     assert sum(len(c.got) > b for c, b in zip(clients.values(), before)) == len(ask) - 1
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -213,7 +213,7 @@
     (request,) = w.handler.active.values()
 
     w.until(lambda: request.is_aborted)
-    w.servers[0].say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
+    w.servers[0].send_to_all(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
     w.until(lambda: client.ended_at)
     moved = client.has("moved")
     # The silent endpoint's one PONG answers the proxy's PING; the client's own PING stays unanswered.
@@ -244,7 +244,7 @@
 def test_half_a_line_of_an_endpoint_does_not_prevent_the_migration_message(world):
     w = world("up")
     (client,) = w.up()
-    w.servers[0].say(w.words["half"])
+    w.servers[0].send_to_all(w.words["half"])
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at and w.loop.stopped)
     assert client.has("moved")
@@ -424,7 +424,7 @@
     raw = RawClient(w).open()
     w.until(opening_counter(w))
     first = next(s for s in w.servers if s.received)
-    first.say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
+    first.send_to_all(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
     block(1.0)  # the attempt had 360 ms
     w.run(0.3)
     assert w.max_in_flight <= 1
