--- a/arrowseam/lab/stand_ins.py
+++ b/arrowseam/lab/stand_ins.py
@@ -25,7 +25,7 @@
 
     loop: EventLoop
     wire: str
-    words: dict[str, Any]
+    messages: dict[str, Any]
     address: Address  # where its clients connect
     in_flight: int  # calls that servers have taken and not answered
     max_in_flight: int
@@ -89,7 +89,7 @@
 
     def serve(self, conn: Connection) -> Coroutine[None]:
         """Serve one connection as ``mode`` says."""
-        words, mode, got = self.world.words, self.mode, bytearray()
+        words, mode, got = self.world.messages, self.mode, bytearray()
         self.received.append(got)
         self.opened_at.append(clock())
         self.live.append(conn)
@@ -174,9 +174,9 @@
 
     def has(self, word: str) -> bool:
         """Whether a message of this kind has come."""
-        return self.world.words[word] in bytes(self.got)
+        return self.world.messages[word] in bytes(self.got)
 
     @property
     def answers(self) -> int:
         """Final answers, in whatever form."""
-        return sum(bytes(self.got).count(self.world.words[w]) for w in ("up", "rejected", "failed"))
+        return sum(bytes(self.got).count(self.world.messages[w]) for w in ("up", "rejected", "failed"))
--- a/arrowseam/lab/traffic.py
+++ b/arrowseam/lab/traffic.py
@@ -22,7 +22,7 @@
     """What the stand-in servers and clients of one protocol share."""
 
     def __init__(self, cluster: LocalCluster, wire: str) -> None:
-        self.loop, self.wire, self.words = cluster.loop, wire, PROTOCOL_MESSAGES[wire]
+        self.loop, self.wire, self.messages = cluster.loop, wire, PROTOCOL_MESSAGES[wire]
         self.in_flight = self.max_in_flight = 0
         self.address: Address = ("", 0)
 
@@ -75,7 +75,7 @@
         wire = ("lines", "nats")[self.number % 2]
         context = self.wires[wire]
         context.address = ("127.0.0.1", self.cluster.ports[name]["front" if wire == "lines" else "nats"])
-        client = StandInClient(context, context.words["open"](self.number, b"tech"))
+        client = StandInClient(context, context.messages["open"](self.number, b"tech"))
         self.arrivals.append((name, client))
         return client
 
--- a/tests/network.py
+++ b/tests/network.py
@@ -48,7 +48,7 @@
         discovery: bool = True,
         **changes: Any,
     ) -> None:
-        self.wire, self.words, self.loop = wire, PROTOCOL_MESSAGES[wire], EventLoop()
+        self.wire, self.messages, self.loop = wire, PROTOCOL_MESSAGES[wire], EventLoop()
         self.longest_round_s = 0.0  # the longest that a round took, of those last run, in seconds
         self.in_flight = self.max_in_flight = 0
         self.numbers = itertools.count(1000)  # an id is new with every connection
@@ -132,7 +132,7 @@
         self.version += 1
 
     def client(self, number: int = 1, klass: bytes = b"tech", more: bytes = b"") -> StandInClient:
-        return StandInClient(self, self.words["open"](number, klass) + more)
+        return StandInClient(self, self.messages["open"](number, klass) + more)
 
     def until(self, condition: Callable[[], Any], seconds: float = 5.0) -> None:
         """Run the world until the condition holds."""
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -245,16 +245,16 @@
     old = proxy.start()
     clients = w.up(20)
     for server in w.servers:
-        server.send_to_all(w.words["half"])
+        server.send_to_all(w.messages["half"])
     w.run(0.1)
     new = proxy.start()
     w.until(lambda: old.poll() == 0, 4)
     for server in w.servers:
-        server.send_to_all(w.words["rest"])
-    message = w.words["half"] + w.words["rest"]
+        server.send_to_all(w.messages["rest"])
+    message = w.messages["half"] + w.messages["rest"]
     w.until(lambda: all(message in c.got for c in clients))
     for client in clients:
-        client.send(w.words["ask"])
+        client.send(w.messages["ask"])
     w.until(lambda: all(c.has("reply") for c in clients))
     assert not any(c.ended_at or c.has("moved") for c in clients)
     counters = w.counters()
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -143,7 +143,7 @@
     with pytest.raises(edge_messages.OpeningError):
         edge_messages.create_request(edge_messages.parse_opening(line), config(), 0)
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: line + b"\r\n"}
+    w.messages = w.messages | {"open": lambda n, klass: line + b"\r\n"}
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
@@ -177,7 +177,7 @@
 def test_an_opening_with_a_wrong_line_end_or_followed_by_data_is_failed(world, end):
     """Forwarded, it would be a line that the client did not send in this form."""
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: b"OPEN 01 0a c=tech,t=acme,d=1800" + end}
+    w.messages = w.messages | {"open": lambda n, klass: b"OPEN 01 0a c=tech,t=acme,d=1800" + end}
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
@@ -211,7 +211,7 @@
 
 def test_an_overlong_opening_is_failed(world):
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: b"OPEN " + b"x" * 5000}
+    w.messages = w.messages | {"open": lambda n, klass: b"OPEN " + b"x" * 5000}
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
@@ -219,7 +219,7 @@
 
 def test_pings_before_the_opening_are_answered(world):
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: b"PING\r\nPING\r\n"}
+    w.messages = w.messages | {"open": lambda n, klass: b"PING\r\nPING\r\n"}
     client = w.client()
     w.until(lambda: bytes(client.got) == b"PONG\r\nPONG\r\n")
 
@@ -238,7 +238,7 @@
 def test_an_adopted_connection_goes_to_its_own_endpoint(world):
     w = world("up", "up", "up")
     line = b"OPEN %02x 0a c=tech,t=acme,d=4294967,at=s2\r\n"
-    w.words = w.words | {"open": lambda n, klass: line % n}
+    w.messages = w.messages | {"open": lambda n, klass: line % n}
     clients = [w.client(n) for n in range(5)]
     w.until(lambda: all(c.has("up") for c in clients))
     assert [len(s.received) for s in w.servers] == [0, 0, 5]
@@ -372,7 +372,7 @@
 )
 def test_the_greeting_of_a_nats_client(world, opening, answer):
     w = world("silent", wire="nats")
-    w.words = w.words | {"open": lambda n, klass: opening}
+    w.messages = w.messages | {"open": lambda n, klass: opening}
     client = w.client()
     w.until(lambda: bytes(client.got).endswith(answer))
     head, line = bytes(client.got).split(b"\r\n")[:2]
@@ -462,7 +462,7 @@
         ("health", b"\0nonsense\r\n\r\n", b"HTTP/1.1 400"),
     ):
         w.address = w.addresses[listener]
-        w.words = w.words | {"open": lambda n, klass, opening=opening: opening}
+        w.messages = w.messages | {"open": lambda n, klass, opening=opening: opening}
         client = w.client()
         w.until(lambda client=client: client.ended_at)
         assert bytes(client.got).startswith(answer)
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -83,9 +83,9 @@
 def test_messages_are_forwarded_both_ways(world):
     w = world("up")
     (client,) = w.up()
-    client.send(w.words["ask"])
+    client.send(w.messages["ask"])
     w.until(lambda: client.has("reply"))
-    assert w.words["ask"] in w.servers[0].received[0]
+    assert w.messages["ask"] in w.servers[0].received[0]
 
 
 def test_large_messages_arrive_complete_at_a_slow_reader(world):
@@ -108,24 +108,24 @@
 def test_the_migration_message_goes_between_two_messages(world):
     w = world("up")
     (client,) = w.up()
-    w.servers[0].send_to_all(w.words["half"])
+    w.servers[0].send_to_all(w.messages["half"])
     (request,) = w.handler.active.values()
     request.migration_requested = True
     request.wake()
     w.run(0.05)
     assert not client.has("moved")
-    w.servers[0].send_to_all(w.words["rest"])
+    w.servers[0].send_to_all(w.messages["rest"])
     w.until(lambda: client.ended_at)
     text = bytes(client.got)
-    assert text.index(w.words["half"] + w.words["rest"]) < text.index(w.words["moved"])
-    assert text.endswith(w.words["moved"])
+    assert text.index(w.messages["half"] + w.messages["rest"]) < text.index(w.messages["moved"])
+    assert text.endswith(w.messages["moved"])
     w.until(lambda: not w.servers[0].live)
 
 
 def test_a_client_is_migrated_from_an_endpoint_that_does_not_reply(world):
     w = world("deaf")
     (client,) = w.up()
-    client.send(w.words["ask"])
+    client.send(w.messages["ask"])
     w.until(lambda: client.ended_at)
     assert client.has("moved")
     assert client.ended_at - client.began < 4 * SECOND
@@ -200,10 +200,10 @@
 def test_idle_clients_are_rejected_in_place_of_new_ones(world):
     """Hundreds of idle clients held every descriptor, and the others were rejected because of them."""
     w = world("up")
-    opening, w.words = w.words, w.words | {"open": lambda n, klass: b""}
+    opening, w.messages = w.messages, w.messages | {"open": lambda n, klass: b""}
     idle = [w.client() for _ in range(30)]
     w.until(lambda: len(w.loop.expendable) == 30)
-    w.words = opening
+    w.messages = opening
     w.loop.descriptor_limit = len(w.loop.watched) + 20
     client = w.client()
     w.until(lambda: client.answers)
@@ -218,9 +218,9 @@
 
 def test_endless_pings_are_cut_off_and_others_are_served_meanwhile(world):
     w = world("up")
-    opening, w.words = w.words, w.words | {"open": lambda n, klass: b"PING\r\n" * 1000}
+    opening, w.messages = w.messages, w.messages | {"open": lambda n, klass: b"PING\r\n" * 1000}
     noisy = w.client()
-    w.words = opening
+    w.messages = opening
     w.up()
     w.until(lambda: noisy.ended_at)
     assert noisy.ended_at - noisy.began < 3 * SECOND
@@ -230,7 +230,7 @@
 def test_the_error_reaches_a_client_that_sends_sixty_megabytes(world):
     """A reset, caused by unread bytes of the client, overtook the error. The payload is not buffered."""
     w = world("up")
-    head = b"" if w.wire == "lines" else w.words["open"](1, b"tech") + b"PUB a 62914560\r\n"
+    head = b"" if w.wire == "lines" else w.messages["open"](1, b"tech") + b"PUB a 62914560\r\n"
     got, ended_at, began = bytearray(), [], clock()
 
     def send() -> Coroutine[None]:
@@ -324,28 +324,28 @@
         for n in positions:
             send(n, data[n:])
 
-    opening = w.words["open"](0, b"tech")
+    opening = w.messages["open"](0, b"tech")
     clients: dict[int, Any] = {}
 
     def open_or_send(n: int, part: bytes) -> None:
         if n in clients:
-            clients[n].send(w.words["open"](n, b"tech")[n:])
+            clients[n].send(w.messages["open"](n, b"tech")[n:])
         else:
-            clients[n] = StandInClient(w, w.words["open"](n, b"tech")[:n])
+            clients[n] = StandInClient(w, w.messages["open"](n, b"tech")[:n])
 
     send_split(opening, open_or_send)
     w.until(lambda: all(c.has("up") for c in clients.values()))
     server = w.servers[0]
     server.mode = "up"
     before = [len(c.got) for c in clients.values()]
-    ask = w.words["ask"]
+    ask = w.messages["ask"]
     send_split(ask, lambda n, part: clients[n].send(part))
     w.until(lambda: sum(c.has("reply") for c in clients.values()) == len(ask) - 1)
     assert sum(ask in got for got in server.received) == len(ask) - 1
     assert sum(len(c.got) > b for c, b in zip(clients.values(), before)) == len(ask) - 1
     for client in clients.values():
         client.got.clear()
-    message = w.words["half"] + w.words["rest"]
+    message = w.messages["half"] + w.messages["rest"]
     live = list(server.live)
     send_split(message, lambda n, part: live[n].write(part) and None)
     w.until(lambda: sum(bytes(c.got) == message for c in clients.values()) == len(message) - 1)
@@ -354,9 +354,9 @@
 def test_a_client_that_disconnects_at_any_moment_frees_everything_at_once(world):
     w = world("up", "silent", "half")
     base = len(w.loop.watched)
-    opening = w.words["open"](1, b"tech")
+    opening = w.messages["open"](1, b"tech")
     clients = [
-        StandInClient(w, w.words["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)
+        StandInClient(w, w.messages["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)
     ]
     w.until(lambda: all(c.conn is not None for c in clients) and len(w.handler.active) >= 4)
     for client in clients:
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -48,7 +48,7 @@
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def open(self, number: int = 1, klass: bytes = b"tech") -> RawClient:
-        self.sock.sendall(self.w.words["open"](number, klass))
+        self.sock.sendall(self.w.messages["open"](number, klass))
         return self
 
     def leave(self, how: str) -> None:
@@ -84,7 +84,7 @@
         return self.eof
 
     def has(self, word: str) -> bool:
-        return self.w.words[word] in self.read()
+        return self.w.messages[word] in self.read()
 
 
 def count_openings(w: ProxyNetwork) -> int:
@@ -133,7 +133,7 @@
     """It has sent nothing, or half a line."""
     w = world("up")
     idle_client = RawClient(w)
-    idle_client.sock.sendall(w.words["open"](1, b"tech")[:half])
+    idle_client.sock.sendall(w.messages["open"](1, b"tech")[:half])
     w.until(lambda: len(w.loop.expendable) == 1)
     end = Connection.shutdown_write
 
@@ -244,11 +244,11 @@
 def test_half_a_line_of_an_endpoint_does_not_prevent_the_migration_message(world):
     w = world("up")
     (client,) = w.up()
-    w.servers[0].send_to_all(w.words["half"])
+    w.servers[0].send_to_all(w.messages["half"])
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at and w.loop.stopped)
     assert client.has("moved")
-    assert w.words["half"] not in client.got
+    assert w.messages["half"] not in client.got
 
 
 def test_signals_during_the_shutdown_do_not_change_its_end(world, tmp_path):
@@ -429,7 +429,7 @@
     w.run(0.3)
     assert w.max_in_flight <= 1
     assert count_openings(w) == 1
-    assert raw.got.count(w.words["up"]) <= 1
+    assert raw.got.count(w.messages["up"]) <= 1
     assert not raw.has("rejected")
     assert not raw.has("failed")
 
@@ -462,7 +462,7 @@
 
     w.until(answers_late)
     w.run(0.1)
-    assert all(c.read().count(w.words["up"]) <= 1 and b"late" not in c.got for c in clients)
+    assert all(c.read().count(w.messages["up"]) <= 1 and b"late" not in c.got for c in clients)
     assert any(c.has("up") for c in clients)
 
 
@@ -579,7 +579,9 @@
     w = world("up")
     raw = RawClient(w).open()
     w.until(lambda: raw.has("up"))
-    messages = [w.words["half"] + w.words["rest"]] * 20 if side == "server" else [w.words["ask"]] * 20
+    messages = (
+        [w.messages["half"] + w.messages["rest"]] * 20 if side == "server" else [w.messages["ask"]] * 20
+    )
     w.until(lambda: w.servers[0].live)
     got = w.servers[0].received[0]
     if side == "server":
@@ -647,7 +649,7 @@
 def test_an_endpoint_that_never_finishes_its_answer_does_not_hold_up_others(world):
     """Its bytes were read for as long as it sent them, and the event loop did nothing else meanwhile."""
     w = world("up")
-    message = b"LOAD 1.0\r\n" if w.wire == "lines" else w.words["greeting"]
+    message = b"LOAD 1.0\r\n" if w.wire == "lines" else w.messages["greeting"]
     flood = subprocess.Popen([sys.executable, "-c", FLOOD_SCRIPT, message.decode()], stdout=subprocess.PIPE)
     assert flood.stdout is not None
     port = int(flood.stdout.readline())
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -145,7 +145,7 @@
     folder.replace_accepted(w, valid)
     for client in clients:
         client.got.clear()
-        client.send(w.words["ask"])
+        client.send(w.messages["ask"])
     w.until(lambda: all(c.has("reply") for c in clients))
     assert w.max_in_flight <= len(clients)
 
