--- a/tests/network.py
+++ b/tests/network.py
@@ -24,13 +24,13 @@
 from arrowseam.protocols.nats.config import read_nats_config
 from arrowseam.proxy.server import Proxy
 
-LANE = {"aim": 300000, "deadline": 1800000, "effect": "retryable", "name": "tech"}
+REQUEST_CLASS = {"aim": 300000, "deadline": 1800000, "effect": "retryable", "name": "tech"}
 SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "caps": {"max_attempts": 5, "dial_timeout": 250000, "max_retry_after": 1500000, "retry_after": True},
     "invariants": {"cold_share": 0.12, "drain_grace": 2000000, "fall_multiple": 4.0, "overload_for": 2000000,
                    "warm_up": 24000000, "ask_within": 400000},
-    "lanes": [LANE, LANE | {"name": "resident", "deadline": 600000}],
+    "lanes": [REQUEST_CLASS, REQUEST_CLASS | {"name": "resident", "deadline": 600000}],
     "tenants": [{"name": "acme", "share": 1.0}],
     "kinds": ["k"],
     "zones": ["z"],
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from network import LANE, SETTINGS, ProxyNetwork, free_port
+from network import REQUEST_CLASS, SETTINGS, ProxyNetwork, free_port
 
 from arrowseam.address import parse_address
 from arrowseam.balancer.events import HealthCheckEnded, UpdateKind
@@ -548,7 +548,7 @@
         (json.dumps({"settings": SETTINGS, "seed": "xyz"}).encode(), "seed"),
         (json.dumps({"settings": SETTINGS, "listen": 5}).encode(), "listen"),
         (json.dumps({"settings": SETTINGS, "listen": "here"}).encode(), "listen"),
-        (json.dumps({"settings": SETTINGS | {"lanes": [LANE | {"aim": "x"}]}}).encode(), "aim"),
+        (json.dumps({"settings": SETTINGS | {"lanes": [REQUEST_CLASS | {"aim": "x"}]}}).encode(), "aim"),
     ],
 )
 def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text, expected):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -23,7 +23,7 @@
     settings,
     snapshot,
 )
-from network import LANE, PROTOCOL_MESSAGES, ProxyNetwork, create_networks
+from network import PROTOCOL_MESSAGES, REQUEST_CLASS, ProxyNetwork, create_networks
 
 from arrowseam.balancer import Balancer
 from arrowseam.balancer.actions import Fail, Reject
@@ -32,7 +32,7 @@
 from arrowseam.config.proxy import ConfigError, read_config
 from arrowseam.errors import UsageError
 
-BULK = LANE | {"name": "bulk", "effect": "fragile", "deadline": 900000}
+BULK = REQUEST_CLASS | {"name": "bulk", "effect": "fragile", "deadline": 900000}
 
 
 @pytest.fixture(params=["lines", "nats"])
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from network import LANE, SETTINGS, ProxyNetwork, create_networks, free_port
+from network import REQUEST_CLASS, SETTINGS, ProxyNetwork, create_networks, free_port
 
 from arrowseam.client_request import DEADLINE_MARGIN
 from arrowseam.net.clock import MS, SECOND, clock
@@ -101,7 +101,7 @@
 
 
 def with_effect(effect: str, **fields: Any) -> dict[str, Any]:
-    return {"lanes": [LANE | {"effect": effect} | fields, SETTINGS["lanes"][1]]}
+    return {"lanes": [REQUEST_CLASS | {"effect": effect} | fields, SETTINGS["lanes"][1]]}
 
 
 # --- the end of the process -------------------------------------------------------------------------------
