--- a/arrowseam/lab/stand_ins.py
+++ b/arrowseam/lab/stand_ins.py
@@ -1,7 +1,7 @@
-"""Stand-ins for endpoints and clients of both protocols, on the event loop and on loopback.
+"""Stand-ins for endpoints and clients of both protocols, run by the event loop on loopback.
 
-They send what real ones send, with the failures that a caller asks for, and record what came and when. They
-must never judge it. Tests and the laboratory use the same ones.
+They send what real ones send, with the failures that a caller asks for, and record what they receive and
+when. They must never judge it. Tests and the laboratory use the same ones.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 
 class StandInNetwork(Protocol):
-    """Where stand-ins of one protocol run."""
+    """What the stand-in endpoints and clients of one protocol share."""
 
     loop: EventLoop
     wire: str
     messages: dict[str, Any]
     address: Address  # where its clients connect
-    in_flight: int  # calls that servers have taken and not answered
-    max_in_flight: int
+    in_flight: int  # openings that endpoints have accepted and not answered
+    max_in_flight: int  # the highest value of ``in_flight`` so far
 
 
-# The messages of each protocol: the opening, and how each answer begins.
+# The messages of each protocol by name: the opening, the beginnings of answers, and data.
 PROTOCOL_MESSAGES: dict[str, dict[str, Any]] = {
     "lines": {
         "open": lambda n, klass: b"OPEN %016x 0a c=%s,t=acme,d=%d\r\n" % (n, klass, DEADLINES_MS[klass]),
@@ -59,10 +59,10 @@
 
 
 def free_port() -> int:
-    """A port that no other listener gets.
+    """Return a port that no other listener uses.
 
-    It is below those that the system assigns for port 0: two listeners of one process may share a port
-    without an error (``SO_REUSEPORT``).
+    It is below the range that the system assigns from for port 0: two listeners of one process may share a
+    port without an error (``SO_REUSEPORT``).
     """
     while True:
         port = next(_PORTS)
@@ -73,31 +73,31 @@
 class StandInEndpoint:
     """A stand-in endpoint.
 
-    ``mode`` says how it answers an opening: up, busy, error, reset, silent (takes it and sends nothing), half
-    (stalls midway through its greeting), deaf (sends nothing after it has taken the client), or drip (up,
-    each byte of its greeting and answer by itself).
+    ``mode`` is how it answers an opening: up, busy, error, reset, silent (reads it and sends nothing), half
+    (stops midway through its greeting), deaf (sends nothing more once it has accepted the client), or drip
+    (up, with each byte of its greeting and answer sent separately).
     """
 
-    def __init__(self, world: StandInNetwork, name: str, mode: str) -> None:
-        self.world, self.name, self.mode = world, name, mode
-        self.received: list[bytearray] = []  # all that came, a connection each
-        self.live: list[Connection] = []
+    def __init__(self, network: StandInNetwork, name: str, mode: str) -> None:
+        self.network, self.name, self.mode = network, name, mode
+        self.received: list[bytearray] = []  # all bytes received, one buffer for each connection
+        self.live: list[Connection] = []  # open connections
         self.opened_at: list[int] = []
-        self.listener = listen(world.loop, ("127.0.0.1", 0), name, self.serve)
+        self.listener = listen(network.loop, ("127.0.0.1", 0), name, self.serve)
         self.row = {"instanceId": name, "hostPort": f"127.0.0.1:{self.listener.address[1]}", "zone": "z",
                     "machineType": "k", "lifecycle": "Ready", "weight": 1.0, "startedAtMs": 0}  # fmt: skip
 
     def serve(self, conn: Connection) -> Coroutine[None]:
         """Serve one connection as ``mode`` says."""
-        words, mode, got = self.world.messages, self.mode, bytearray()
+        messages, mode, got = self.network.messages, self.mode, bytearray()
         self.received.append(got)
         self.opened_at.append(clock())
         self.live.append(conn)
-        self.world.in_flight += 1
-        self.world.max_in_flight = max(self.world.max_in_flight, self.world.in_flight)
+        self.network.in_flight += 1
+        self.network.max_in_flight = max(self.network.max_in_flight, self.network.in_flight)
         answered = False
         try:
-            yield from self.send(conn, words["half greeting"] if mode == "half" else words["greeting"])
+            yield from self.send(conn, messages["half greeting"] if mode == "half" else messages["greeting"])
             while not conn.eof and not conn.closed:
                 if not conn.read():
                     if not conn.eof:
@@ -105,30 +105,32 @@
                     continue
                 data = conn.received.take(len(conn.received))
                 got += data
-                deaf = mode == "deaf" and answered and (self.world.wire == "lines" or got.count(b"PING") > 2)
+                deaf = (
+                    mode == "deaf" and answered and (self.network.wire == "lines" or got.count(b"PING") > 2)
+                )
                 if mode in ("silent", "half") or deaf:
                     continue
-                if not answered and (b"PING" in got or self.world.wire == "lines"):
+                if not answered and (b"PING" in got or self.network.wire == "lines"):
                     if mode == "reset":
                         conn.close(reset=True)
                     elif mode in ("busy", "error"):
-                        yield from conn.send(words["server " + mode], clock() + SECOND)
+                        yield from conn.send(messages["server " + mode], clock() + SECOND)
                         return
                     answered = True
-                    self.world.in_flight -= 1
-                    yield from self.send(conn, b"UP r1\r\n" if self.world.wire == "lines" else b"")
-                    data = b"" if self.world.wire == "lines" else data
-                if self.world.wire == "lines":
+                    self.network.in_flight -= 1
+                    yield from self.send(conn, b"UP r1\r\n" if self.network.wire == "lines" else b"")
+                    data = b"" if self.network.wire == "lines" else data
+                if self.network.wire == "lines":
                     yield from conn.send(data, clock() + SECOND)
                 else:
                     yield from self.send(conn, b"PONG\r\n" * data.count(b"PING\r\n"))
-                    yield from conn.send(words["reply"] * data.count(b"PUB "), clock() + SECOND)
+                    yield from conn.send(messages["reply"] * data.count(b"PUB "), clock() + SECOND)
         finally:
             self.live.remove(conn)
-            self.world.in_flight -= not answered
+            self.network.in_flight -= not answered
 
     def send(self, conn: Connection, data: bytes) -> Coroutine[None]:
-        """Send to one connection, in the mode drip byte by byte."""
+        """Send on one connection; in the mode drip, byte by byte."""
         size = 1 if self.mode == "drip" else len(data) or 1
         for at in range(0, len(data), size):
             yield from conn.send(data[at : at + size], clock() + SECOND)
@@ -137,25 +139,25 @@
                 yield pause
 
     def send_to_all(self, data: bytes) -> None:
-        """Send to all connections at once."""
+        """Write to all open connections without waiting."""
         for conn in self.live:
             assert conn.write(data) == len(data)
 
 
 class StandInClient:
-    """A stand-in client: what it got, and when its connection ended."""
+    """A stand-in client: the bytes that it received, and when its connection ended."""
 
-    def __init__(self, world: StandInNetwork, opening: bytes) -> None:
-        self.world, self.got = world, bytearray()
+    def __init__(self, network: StandInNetwork, opening: bytes) -> None:
+        self.network, self.got = network, bytearray()
         self.conn: Connection | None = None
         self.ended_at = 0
         self.reading = True
         self.began = clock()
-        world.loop.start_task(self.run(opening), "client")
+        network.loop.start_task(self.run(opening), "client")
 
     def run(self, opening: bytes) -> Coroutine[None]:
         """Connect, send the opening and read until the connection ends."""
-        conn = yield from self.world.loop.connect(self.world.address, clock() + SECOND)
+        conn = yield from self.network.loop.connect(self.network.address, clock() + SECOND)
         assert conn is not None
         self.conn = conn
         yield from conn.send(opening, clock() + SECOND)
@@ -168,15 +170,15 @@
         conn.close()
 
     def send(self, data: bytes) -> None:
-        """Send at once."""
+        """Write without waiting."""
         assert self.conn is not None
         assert self.conn.write(data) == len(data)
 
-    def has(self, word: str) -> bool:
-        """Whether a message of this kind has come."""
-        return self.world.messages[word] in bytes(self.got)
+    def has(self, message: str) -> bool:
+        """Whether the message of this name has been received."""
+        return self.network.messages[message] in bytes(self.got)
 
     @property
     def answers(self) -> int:
-        """Final answers, in whatever form."""
-        return sum(bytes(self.got).count(self.world.messages[w]) for w in ("up", "rejected", "failed"))
+        """How many final answers of any kind have been received."""
+        return sum(bytes(self.got).count(self.network.messages[m]) for m in ("up", "rejected", "failed"))
--- a/tests/network.py
+++ b/tests/network.py
@@ -1,7 +1,7 @@
-"""One small world on loopback for the tests of the network code: the laboratory's stand-ins and discovery,
-coroutines on the proxy's own loop, so a test needs no threads and waits on conditions.
+"""One proxy on loopback for the tests of the network code, with stand-in clients, endpoints and discovery.
 
-``ProxyNetwork(wire)`` has one proxy with both fronts; ``wire`` says which one the stand-ins speak.
+The stand-ins are coroutines on the proxy's own event loop, so a test needs no threads and waits on
+conditions. The proxy listens for both protocols; ``wire`` is the one that the stand-ins speak.
 """
 
 from __future__ import annotations
@@ -49,26 +49,26 @@
         **changes: Any,
     ) -> None:
         self.wire, self.messages, self.loop = wire, PROTOCOL_MESSAGES[wire], EventLoop()
-        self.longest_round_s = 0.0  # the longest that a round took, of those last run, in seconds
+        self.longest_round_s = 0.0  # of the rounds in the last call of ``until``
         self.in_flight = self.max_in_flight = 0
-        self.numbers = itertools.count(1000)  # an id is new with every connection
-        self.version, self.endpoint_rows, self.calls = 1, [], []
-        self.raw_response: bytes | None = None  # what discovery answers in place of a list
+        self.numbers = itertools.count(1000)  # request ids; each connection has a new one
+        self.version, self.endpoint_rows, self.calls = 1, [], []  # of discovery
+        self.raw_response: bytes | None = None  # sent by discovery in place of a list
         self.servers = [StandInEndpoint(self, f"s{n}", mode) for n, mode in enumerate(modes)]
-        asked = listen(self.loop, ("127.0.0.1", 0), "directory", self._discovery).address[1]
+        discovery_port = listen(self.loop, ("127.0.0.1", 0), "directory", self._discovery).address[1]
         rows = [server.row for server in self.servers]
         doc = {
             "name": "n0", "listen": "127.0.0.1:0", "control": "127.0.0.1:0",
-            "discovery": f"127.0.0.1:{asked}" if discovery else "",
+            "discovery": f"127.0.0.1:{discovery_port}" if discovery else "",
             "seed": "1f", "limits": {"sockets": 1000}, "settings": SETTINGS | changes,
             "known": {"generation": 1, "reset": True, "instances": rows if known else []},
         }  # fmt: skip
         self.doc: dict[str, Any] = doc
         self.config = read_config(json.dumps(doc).encode())
-        place = {user: {"class": user, "tenant": "acme"} for user in ("tech", "resident")}
+        users = {user: {"class": user, "tenant": "acme"} for user in ("tech", "resident")}
         self.nats = nats = {
             "listen": f"127.0.0.1:{free_port()}",
-            "users": place,
+            "users": users,
             "health": "127.0.0.1:0",
             "agent": "127.0.0.1:0",
         }
@@ -94,14 +94,14 @@
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text)
             yield from conn.send(head + text, clock() + SECOND)
 
-    def call(self, words: bytes) -> Callable[[], bytes | None]:
-        """Say a line to control; what comes back is there once all of it is."""
+    def call(self, command: bytes) -> Callable[[], bytes | None]:
+        """Send a command to control; the returned function gives the response once it is complete."""
         got: list[bytes] = []
 
         def run() -> Coroutine[None]:
             conn = yield from self.loop.connect(self.addresses["control"], clock() + SECOND)
             assert conn is not None
-            assert (yield from conn.send(words, clock() + SECOND))
+            assert (yield from conn.send(command, clock() + SECOND))
             while not conn.eof:
                 if not conn.read() and not conn.eof:
                     yield None
@@ -111,13 +111,14 @@
         self.loop.start_task(run(), "caller")
         return lambda: got[0] if got else None
 
-    def control(self, words: bytes) -> bytes:
-        answer = self.call(words)
+    def control(self, command: bytes) -> bytes:
+        """The response of control to a command."""
+        answer = self.call(command)
         self.until(lambda: answer() is not None)
         return answer() or b""
 
     def counters(self) -> dict[str, int]:
-        """What ``counters`` tells."""
+        """What the command ``counters`` prints, by name."""
         *lines, end = self.control(b"counters\r\n").decode().splitlines()
         assert end == "--"
         found = [re.fullmatch(r"(edge\.[\w.-]+):(\d+)\|([cg])", line) for line in lines]
@@ -125,7 +126,7 @@
         return {match[1]: int(match[2]) for match in found if match}
 
     def update_list(self, **rows: dict[str, Any]) -> None:
-        """Discovery's list changes: fields by server."""
+        """Make discovery list the endpoints named, each with the given fields changed."""
         self.endpoint_rows = [
             server.row | rows[server.name] for server in self.servers if server.name in rows
         ]
@@ -135,37 +136,37 @@
         return StandInClient(self, self.messages["open"](number, klass) + more)
 
     def until(self, condition: Callable[[], Any], seconds: float = 5.0) -> None:
-        """Run the world until the condition holds."""
-        turn, end = self.handler.run_balancer, time.monotonic() + seconds
+        """Run the event loop until the condition holds."""
+        run_balancer, end = self.handler.run_balancer, time.monotonic() + seconds
         self.longest_round_s, last = 0.0, time.monotonic()
 
-        def watched(now: int) -> int:
+        def on_round(now: int) -> int:
             nonlocal last
-            due = turn(now)
+            due = run_balancer(now)
             self.longest_round_s, last = max(self.longest_round_s, time.monotonic() - last), time.monotonic()
             self.loop.stopped = bool(condition()) or time.monotonic() > end
             return min(due or now + 10_000, now + 10_000)
 
-        self.loop.on_round = watched
+        self.loop.on_round = on_round
         self.loop.stopped = False
         self.loop.run()
-        assert condition(), "it did not come about"
+        assert condition(), "the condition did not hold in time"
 
     def run(self, seconds: float) -> None:
-        """Let time pass, to see that nothing happens."""
+        """Run the event loop for so long, to check that nothing happens."""
         end = time.monotonic() + seconds
         self.until(lambda: time.monotonic() >= end, seconds + 5)
 
     def up(self, count: int = 1, **fields: Any) -> list[StandInClient]:
-        """Clients that have been served. Where the machine stood still meanwhile, others are tried: to the
-        proxy, a stand-in on its own loop is then a server that does not answer."""
+        """Connect clients that are all served. Tries again with new ones if a round took over 0.1 s: to the
+        proxy, a stand-in on its own loop is then an endpoint that does not answer."""
         for _ in range(3):
             found = [self.client(next(self.numbers), **fields) for _ in range(count)]
             self.until(lambda found=found: all(c.answers for c in found))
             if all(c.has("up") for c in found):
                 return found
             assert self.longest_round_s > 0.1, [bytes(c.got) for c in found]
-        raise AssertionError("the machine stands still too often")
+        raise AssertionError("a round of the event loop took over 0.1 s in three attempts")
 
     def close(self) -> None:
         if self.proxy.endpoint_sources is not None:
@@ -180,7 +181,7 @@
 
 
 def create_networks(wire: str) -> Iterator[Callable[..., ProxyNetwork]]:
-    """For fixtures: a function that makes worlds of this wire; all are closed in the end."""
+    """For fixtures: yields a function that creates networks of this protocol, and closes them at the end."""
     created: list[ProxyNetwork] = []
 
     def create(*modes: str, **fields: Any) -> ProxyNetwork:
@@ -188,5 +189,5 @@
         return created[-1]
 
     yield create
-    for one in created:
-        one.close()
+    for network in created:
+        network.close()
