--- a/arrowseam/cli/lab.py
+++ b/arrowseam/cli/lab.py
@@ -55,9 +55,9 @@
             f"seed {result.seed}: {result.clients} clients, {result.served} served, "
             f"held up {result.slack_ms} ms at most"
         )
-        for text in result.broken:
+        for text in result.violations:
             click.echo(f"BROKEN: {text}")
-        if result.broken:
+        if result.violations:
             broken += 1
             click.echo(f"again: {result.command}")
     click.echo(f"{played} runs, {broken} broken")
--- a/arrowseam/lab/soak.py
+++ b/arrowseam/lab/soak.py
@@ -19,7 +19,7 @@
     """What one run came to. ``slack_ms``: how long the machine held the stand-ins up at most."""
 
     seed: int
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
     clients: int
     served: int
     slack_ms: int
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -157,12 +157,12 @@
 def test_a_faulty_proxy_is_noticed(mutant: str, seed: int, says: str) -> None:
     program = (sys.executable, "-m", "arrowseam.lab.soak_mutants", mutant)
     result = soak.run_seed(seed, SECONDS, program)
-    assert any(says in text for text in result.broken), result
+    assert any(says in text for text in result.violations), result
 
 
 def test_a_short_soak_breaks_no_rule() -> None:
     results = list(soak.run_seeds(SEEDS.start, SEEDS.stop, SECONDS, jobs=2))
-    assert {result.command: result.broken for result in results if result.broken} == {}
+    assert {result.command: result.violations for result in results if result.violations} == {}
     assert all(result.served for result in results)
 
 
