--- a/arrowseam/lab/soak.py
+++ b/arrowseam/lab/soak.py
@@ -1,4 +1,4 @@
-"""Soak runs over many seeds, some at a time, each in a process and a folder of its own."""
+"""Soak runs over many seeds, several at a time, each in its own process and folder."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True)
 class SoakResult:
-    """What one run came to. ``slack_ms``: how long the machine held the stand-ins up at most."""
+    """The result of one run. ``slack_ms``: the longest delay that the machine caused."""
 
     seed: int
     violations: tuple[str, ...]
     clients: int
     served: int
     slack_ms: int
-    command: str  # that plays it again
+    command: str  # that repeats the run
 
 
 def run_seed(seed: int, seconds: float, program: tuple[str, ...] = ()) -> SoakResult:
-    """Draw, play and judge one run; ``program`` is what to run in place of ``python -m arrowseam``."""
+    """Draw, play and judge one run; ``program`` replaces ``python -m arrowseam`` if given."""
     with tempfile.TemporaryDirectory() as folder:
         record = play(draw_plan(seed, seconds), Path(folder), program)
     return SoakResult(
@@ -41,9 +41,9 @@
 
 
 def run_seeds(first: int, last: int, seconds: float, jobs: int) -> Iterator[SoakResult]:
-    """Run the seeds from ``first`` to before ``last``, ``jobs`` at a time; results come in their order.
+    """Run the seeds from ``first`` to before ``last``, ``jobs`` at a time; yields the results in seed order.
 
-    Workers are spawned and not forked: ports are chosen by process, and would be the same ones.
+    Workers are spawned, not forked: ports are chosen when a process starts, and forked ones would share them.
     """
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(jobs, mp_context=context) as pool:
--- a/arrowseam/lab/soak_mutants.py
+++ b/arrowseam/lab/soak_mutants.py
@@ -1,6 +1,6 @@
 """Planted faults for soak runs: ``python -m arrowseam.lab.soak_mutants NAME serve ...`` runs a faulty proxy.
 
-Each leaves one rule of a proxy out, so that a test shows that the judge of soak runs notices it.
+Each removes one rule of the proxy; a test shows that the judge of soak runs finds the fault.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from arrowseam.request_handling.shutdown import GracefulShutdown
 
 
-def _end_by_signals() -> None:
+def _do_not_ignore_signals() -> None:
     process_signals.ignore_signals = lambda: None
 
 
-def _repeat_what_may_not_run_twice() -> None:
+def _retry_non_idempotent_requests() -> None:
     original = settings.Settings.__post_init__
 
     def make_idempotent(self: settings.Settings) -> None:
@@ -34,11 +34,11 @@
     settings.Settings.__post_init__ = make_idempotent  # type: ignore[method-assign]
 
 
-def _cut_without_a_word() -> None:
+def _close_without_migration_message() -> None:
     messages.MIGRATION_LINE = b""
 
 
-def _overlook_drains() -> None:
+def _ignore_drains() -> None:
     original = DiscoveryClient._apply  # noqa: SLF001
 
     def apply(self: DiscoveryClient, document: Any, decoded: Any, is_cached: bool = False) -> None:
@@ -49,7 +49,7 @@
     DiscoveryClient._apply = apply  # type: ignore[method-assign]  # noqa: SLF001
 
 
-def _never_end() -> None:
+def _never_finish_draining() -> None:
     def drain(self: GracefulShutdown, begun_at: int) -> Coroutine[None]:
         while self.is_draining and begun_at:
             yield None
@@ -58,11 +58,11 @@
 
 
 MUTANTS: dict[str, Callable[[], None]] = {
-    "ends_by_signals": _end_by_signals,
-    "repeats_what_may_not_run_twice": _repeat_what_may_not_run_twice,
-    "cuts_without_a_word": _cut_without_a_word,
-    "overlooks_drains": _overlook_drains,
-    "never_ends": _never_end,
+    "does_not_ignore_signals": _do_not_ignore_signals,
+    "retries_non_idempotent_requests": _retry_non_idempotent_requests,
+    "closes_without_migration_message": _close_without_migration_message,
+    "ignores_drains": _ignore_drains,
+    "never_finishes_draining": _never_finish_draining,
 }
 
 
--- a/arrowseam/lab/soak_plan.py
+++ b/arrowseam/lab/soak_plan.py
@@ -1,7 +1,7 @@
 """What one soak run does, drawn from its seed: endpoints, clients, discovery and signals.
 
-A plan says everything that is chosen; only the timing of the machine differs between two plays of a seed.
-Times are microseconds from the run's start.
+A plan holds every choice; two runs of one seed differ only in the timing of the machine.
+Times are microseconds from the start of the run.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from typing import TypeVar
 
 MS, SECOND = 1_000, 1_000_000
-DEADLINE = 1_800 * MS  # the longest of a class
+DEADLINE = 1_800 * MS  # the longest of all request classes
 SHORT_DEADLINE = 600 * MS
 KILL_AFTER_DEADLINE = 700 * MS  # from SIGTERM to SIGKILL, beyond the longest deadline
-SETTLE_TIME = 1_500 * MS  # for a process whose clients have all left
+SETTLE_TIME = 1_500 * MS  # for a process to release its connections after all clients have left
 DRAIN_GRACE = 2 * SECOND
-REPEAT_WINDOW = SECOND  # in which endpoints drop repeats of a keyed request
+DEDUPLICATION_WINDOW = SECOND  # in which endpoints drop retries of a keyed request
 OPENING_TIMEOUT = 2 * SECOND
 ENDPOINT_MODES = ("up", "up", "up", "busy", "error", "reset", "silent", "late")
-REFUSES = "refuse"  # nobody listens
+REFUSING = "refuse"  # connections are refused, as the listener is closed
 ENDPOINT_COUNT = 4
 CROWD_IDLE, CROWD_BURST = 120, 30
 DESCRIPTOR_LIMIT = 160
@@ -38,16 +38,16 @@
 
     STAYS = "stays"  # uses its open connection until the process ends
     LEAVES = "leaves"  # closes after a while, with or without its answer
-    RESTS = "rests"  # connects, and sends its opening late
-    PARTIAL = "partial"  # sends half an opening, and the rest late or never
+    OPENS_LATE = "opens_late"  # connects, and sends its opening later
+    PARTIAL = "partial"  # sends half of its opening, and the rest later or never
     IDLE = "idle"  # connects and sends nothing
 
 
 class RequestKind(StrEnum):
-    """The class of a request, by whether it may run twice; the names are those of the configuration."""
+    """The class of a request, by its idempotency; the values are names of classes in the configuration."""
 
-    RETRYABLE = "tech"
-    FRAGILE = "resident"
+    IDEMPOTENT = "tech"
+    NON_IDEMPOTENT = "resident"
     KEYED = "keyed"
 
 
@@ -62,18 +62,18 @@
 
 @dataclass(frozen=True)
 class ClientStep:
-    """One client: when it connects, what it does after which span."""
+    """One client: when it connects and what it does."""
 
     at: int
     wire: Wire
     kind: ClientKind
     request: RequestKind
-    span: int  # until it sends its opening, the rest of it, or leaves
+    delay: int  # until it sends its opening or the rest of it, or leaves
 
 
 @dataclass(frozen=True)
 class EndpointStep:
-    """An endpoint answers in another way from then on."""
+    """An endpoint changes how it answers."""
 
     at: int
     endpoint: int
@@ -91,20 +91,20 @@
 
 @dataclass(frozen=True)
 class DiscoveryStep:
-    """Discovery answers in another way for a while."""
+    """Discovery changes how it answers, for ``duration``."""
 
     at: int
     mode: DiscoveryMode
-    span: int
+    duration: int
 
 
 @dataclass(frozen=True)
 class SignalStep:
-    """A signal to the process that serves; ``rewrites``: its configuration is rewritten before."""
+    """A signal to the process that serves; ``rewrites_config``: its configuration is rewritten before it."""
 
     at: int
     name: str
-    rewrites: bool = False
+    rewrites_config: bool = False
 
 
 Step = TypeVar("Step", ClientStep, EndpointStep, ListStep, DiscoveryStep, SignalStep)
@@ -112,11 +112,11 @@
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """All that one run does. ``restart_at``: a second process takes over then; 0 = none does.
+    """All that one run does. ``restart_at``: when a second process takes over (hot restart); 0: never.
 
-    ``crash_at``: it is killed then, and started again; 0 = it is not.
-    ``end_at``: SIGTERM; ``signals_after_end`` come that long after it. ``settles``: all clients leave before,
-    and the process has time to let go of them.
+    ``crash_at``: when the process is killed and started again; 0: never.
+    ``end_at``: when SIGTERM is sent; times in ``signals_after_end`` are relative to it. ``settles``: all
+    clients leave before SIGTERM, and the process has time to release their connections.
     """
 
     seed: int
@@ -134,7 +134,7 @@
 
 
 def draw_plan(seed: int, seconds: float = 4.0) -> SoakPlan:
-    """Draw a run of so many seconds until its SIGTERM."""
+    """Draw a run that gets SIGTERM after ``seconds``."""
     rnd = random.Random(seed)
     end_at = int(seconds * SECOND)
     modes = ("up", *(rnd.choice(ENDPOINT_MODES) for _ in range(ENDPOINT_COUNT - 1)))
@@ -154,7 +154,7 @@
         for _ in range(rnd.randint(0, 2))
     ]
     signals = [
-        SignalStep(rnd.randrange(end_at), "SIGHUP", rewrites=rnd.random() < 0.7)
+        SignalStep(rnd.randrange(end_at), "SIGHUP", rewrites_config=rnd.random() < 0.7)
         for _ in range(rnd.choice((0, 1, 2, 6)))
     ]
     restart_at = rnd.randrange(SECOND, end_at) if rnd.random() < 0.25 else 0
@@ -167,13 +167,13 @@
 
 
 def _draw_crash_and_refusals(seed: int, end_at: int) -> tuple[int, list[EndpointStep]]:
-    """Draw from numbers of their own, so that the rest of a seed stays what it was."""
+    """Draw from a separate generator, so that the rest of a seed's plan does not change."""
     rnd = random.Random(f"{seed}: crash and refusals")
     crash_at = rnd.randrange(end_at // 4, end_at // 2) if rnd.random() < 0.2 else 0
     refusals = []
     for _ in range(rnd.choice((0, 0, 1, 2))):
         at, endpoint = rnd.randrange(end_at), rnd.randrange(1, ENDPOINT_COUNT)
-        refusals.append(EndpointStep(at, endpoint, REFUSES))
+        refusals.append(EndpointStep(at, endpoint, REFUSING))
         refusals.append(EndpointStep(at + rnd.randrange(2 * SECOND), endpoint, rnd.choice(ENDPOINT_MODES)))
     return crash_at, refusals
 
@@ -184,27 +184,27 @@
 
 def _draw_client(rnd: random.Random, at: int) -> ClientStep:
     kind = rnd.choices(list(ClientKind), (6, 3, 2, 1, 1))[0]
-    span = rnd.choice((5 * MS, 100 * MS, 700 * MS, 1_500 * MS, 2_500 * MS))
-    return ClientStep(at, rnd.choice(list(Wire)), kind, rnd.choice(list(RequestKind)), span)
+    delay = rnd.choice((5 * MS, 100 * MS, 700 * MS, 1_500 * MS, 2_500 * MS))
+    return ClientStep(at, rnd.choice(list(Wire)), kind, rnd.choice(list(RequestKind)), delay)
 
 
 def _draw_crowd(rnd: random.Random, end_at: int) -> list[ClientStep]:
-    """Idle clients that take up the descriptors, and many requests at once."""
+    """Idle clients that use up the descriptors, and then many requests at once."""
     at = rnd.randrange(end_at // 2)
     idle = [
-        ClientStep(at, rnd.choice(list(Wire)), ClientKind.IDLE, RequestKind.RETRYABLE, 0)
+        ClientStep(at, rnd.choice(list(Wire)), ClientKind.IDLE, RequestKind.IDEMPOTENT, 0)
         for _ in range(CROWD_IDLE)
     ]
     burst_at = at + rnd.randrange(SECOND)
     burst = [
-        ClientStep(burst_at, rnd.choice(list(Wire)), ClientKind.STAYS, RequestKind.RETRYABLE, 0)
+        ClientStep(burst_at, rnd.choice(list(Wire)), ClientKind.STAYS, RequestKind.IDEMPOTENT, 0)
         for _ in range(CROWD_BURST)
     ]
     return idle + burst
 
 
 def _draw_last_signals(rnd: random.Random) -> tuple[SignalStep, ...]:
-    """Signals from SIGTERM on, up to the last moment; a series of a few milliseconds in some runs."""
+    """Signals from SIGTERM to the kill; in some runs one every few milliseconds."""
     until = DEADLINE + KILL_AFTER_DEADLINE
     if rnd.random() < 0.4:
         pause = rnd.choice((2 * MS, 10 * MS))
--- a/arrowseam/lab/soak_player.py
+++ b/arrowseam/lab/soak_player.py
@@ -1,6 +1,6 @@
-"""Plays a soak plan on one real proxy (two in a hot restart), with stand-ins around it, and records it.
+"""Plays a soak plan on one real proxy (two in a hot restart) among stand-ins, and records the run.
 
-It owns the processes that it starts and ends them by their id. It must never look into them, nor judge.
+It owns the processes that it starts and ends them by their id. It must never inspect them, nor judge.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from arrowseam.lab.soak_judge import ProcessRecord, SoakRecord
 from arrowseam.lab.soak_plan import (
     DEADLINE,
+    DEDUPLICATION_WINDOW,
     DESCRIPTOR_LIMIT,
     KILL_AFTER_DEADLINE,
     MS,
-    REPEAT_WINDOW,
     SECOND,
     SETTLE_TIME,
     SHORT_DEADLINE,
@@ -35,8 +35,8 @@
     Wire,
 )
 from arrowseam.lab.soak_stand_ins import (
-    ASK_INTERVAL,
     DISCOVERY_PORT,
+    LINE_INTERVAL,
     ClientRecord,
     SoakClient,
     SoakDiscovery,
@@ -48,56 +48,56 @@
 from arrowseam.net.task import Coroutine
 
 PROGRAM = (sys.executable, "-m", "arrowseam")
-RUN_DELAY_WINDOW = 250 * MS  # in which waits for a processor add up
+RUN_DELAY_WINDOW = 250 * MS  # over which the waits of a process for a processor are added up
 START_TIMEOUT = 20 * SECOND
 POLL_INTERVAL = 5 * MS
 PROXY_PORTS = {Wire.LINES: 15_000, Wire.NATS: 15_001}
 FIRST_REQUEST_ID = 1_000
-LANES = [
-    {"name": RequestKind.RETRYABLE, "aim": 300_000, "deadline": DEADLINE, "effect": "retryable"},
-    {"name": RequestKind.FRAGILE, "aim": 300_000, "deadline": SHORT_DEADLINE, "effect": "fragile"},
+REQUEST_CLASSES = [
+    {"name": RequestKind.IDEMPOTENT, "aim": 300_000, "deadline": DEADLINE, "effect": "retryable"},
+    {"name": RequestKind.NON_IDEMPOTENT, "aim": 300_000, "deadline": SHORT_DEADLINE, "effect": "fragile"},
     {"name": RequestKind.KEYED, "aim": 300_000, "deadline": DEADLINE, "effect": "dedup",
-     "key_scope": "all", "key_ttl": REPEAT_WINDOW},
+     "key_scope": "all", "key_ttl": DEDUPLICATION_WINDOW},
 ]  # fmt: skip
-RULES = {"cold_share": 0.12, "drain_grace": 2 * SECOND, "fall_multiple": 4.0, "overload_for": 2 * SECOND,
-         "warm_up": 24 * SECOND, "ask_within": 400 * MS}  # fmt: skip
-CAPS = {"max_attempts": 4, "dial_timeout": 250 * MS, "max_retry_after": 1_500 * MS, "retry_after": True}
+INVARIANTS = {"cold_share": 0.12, "drain_grace": 2 * SECOND, "fall_multiple": 4.0, "overload_for": 2 * SECOND,
+              "warm_up": 24 * SECOND, "ask_within": 400 * MS}  # fmt: skip
+LIMITS = {"max_attempts": 4, "dial_timeout": 250 * MS, "max_retry_after": 1_500 * MS, "retry_after": True}
 
 
 class ProcessNotServingError(Exception):
-    """A process did not answer PING in time; the text is its log."""
+    """A process did not listen in time; the message is its log."""
 
 
 class SoakProcess:
-    """One ``serve``; its log is JSON lines in a file."""
+    """One process that runs ``serve``, with its log in a file of JSON lines."""
 
     def __init__(self, folder: Path, number: int, program: tuple[str, ...]) -> None:
         self.log_path = folder / f"log-{number}"
-        words = [*(program or PROGRAM), "serve", "--config", "config.json", "--nats", "nats.json",
-                 "--operator", "operator.star"]  # fmt: skip
+        arguments = [*(program or PROGRAM), "serve", "--config", "config.json", "--nats", "nats.json",
+                     "--operator", "operator.star"]  # fmt: skip
         source = str(Path(__file__).resolve().parents[2])
         environment = os.environ | {"TMPDIR": str(folder), "PYTHONPATH": source}
         with self.log_path.open("wb") as log:
-            self.process = subprocess.Popen(words, cwd=folder, stdout=log, stderr=log, env=environment)
-        self.was_held = False
+            self.process = subprocess.Popen(arguments, cwd=folder, stdout=log, stderr=log, env=environment)
+        self.was_killed = False
 
     def send(self, name: str) -> None:
-        """Send a signal; nothing if it has ended."""
+        """Send a signal, unless the process has ended."""
         if self.process.poll() is None:
             self.process.send_signal(signal.Signals[name])
 
     def kill(self) -> None:
-        """End it; it was held if it had not ended by itself."""
-        self.was_held = self.process.poll() is None
+        """Kill the process; ``was_killed`` tells whether it was still running."""
+        self.was_killed = self.process.poll() is None
         self.process.kill()
         self.process.wait()
 
     def descriptors(self) -> int:
-        """How many descriptors it has open."""
+        """The number of its open descriptors."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def run_delay(self) -> int:
-        """Microseconds that it was ready to run and waited for a processor, so far; 0 once it ended."""
+        """Total time in microseconds that it was ready to run and had no processor; 0 once it has ended."""
         try:
             return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[1]) // 1_000
         except (OSError, IndexError):
@@ -105,12 +105,12 @@
 
     def record(self) -> ProcessRecord:
         """How it ended."""
-        status = None if self.was_held else self.process.returncode
+        status = None if self.was_killed else self.process.returncode
         return ProcessRecord(status, self.log_path.read_text().splitlines())
 
 
 class SoakPlayer:
-    """Plays one plan in a folder of its own."""
+    """Plays one plan in its own folder."""
 
     def __init__(self, plan: SoakPlan, folder: Path, program: tuple[str, ...] = ()) -> None:
         self.plan, self.folder, self.program, self.loop = plan, folder, program, EventLoop()
@@ -126,12 +126,12 @@
         self.addresses: dict[Wire, Address] = {wire: (own_host(), port) for wire, port in PROXY_PORTS.items()}
         self.processes: list[SoakProcess] = []
         self.clients: list[SoakClient] = []
-        self.rewrites = 0
+        self.config_writes = 0
         self._round_at = 0
         self._drains: dict[int, int] = {}
-        self._run_delays: dict[SoakProcess, int] = {}  # of each process, when it was last looked at
-        self._delays_until = 0
-        self._crashed_requests: set[int] = set()  # of clients that were there at a crash
+        self._run_delays: dict[SoakProcess, int] = {}  # of each process, when last read
+        self._next_delay_check = 0
+        self._crashed_requests: set[int] = set()  # of the clients that had been started at a crash
         self._process_count = 0
 
     # --- files ---
@@ -144,14 +144,14 @@
         ]  # fmt: skip
 
     def _write_files(self) -> None:
-        """Write the configuration; each time with another limit, so that a reload changes something."""
+        """Write the configuration, with another limit each time so that a reload changes something."""
         host, port = self.addresses[Wire.LINES]
-        caps = CAPS | {"max_attempts": 3 + self.rewrites % 3}
+        limits = LIMITS | {"max_attempts": 3 + self.config_writes % 3}
         document = {
             "name": "n0", "listen": f"{host}:{port}", "seed": f"{self.plan.seed:x}",
             "discovery": f"{own_host()}:{DISCOVERY_PORT}",
             "limits": {"sockets": DESCRIPTOR_LIMIT},
-            "settings": {"balancers": 1, "caps": caps, "invariants": RULES, "lanes": LANES,
+            "settings": {"balancers": 1, "caps": limits, "invariants": INVARIANTS, "lanes": REQUEST_CLASSES,
                          "tenants": [{"name": "acme", "share": 1.0}], "kinds": ["k"], "zones": ["z"],
                          "registry_mode": "subscribe"},
         }  # fmt: skip
@@ -166,12 +166,12 @@
             temporary = self.folder / f"{name}.new"
             temporary.write_text(text)
             os.replace(temporary, self.folder / name)
-        self.rewrites += 1
+        self.config_writes += 1
 
     # --- time ---
 
     def _run_until(self, condition: Callable[[], bool], due: int) -> bool:
-        """Run the stand-ins until it holds or until ``due``; how long they were held up adds to the slack."""
+        """Run the stand-ins until the condition holds or until ``due``; their longest delay becomes slack."""
 
         def on_round(now: int) -> int:
             if self._round_at:
@@ -187,21 +187,21 @@
         return condition()
 
     def _note_run_delays(self, now: int) -> None:
-        """What a process waited for a processor, in any short window, is no fault of its own."""
-        if now < self._delays_until:
+        """Count the waits of a process for a processor as slack: they are no fault of the proxy."""
+        if now < self._next_delay_check:
             return
-        self._delays_until = now + RUN_DELAY_WINDOW
+        self._next_delay_check = now + RUN_DELAY_WINDOW
         for process in self.processes:
             delay = process.run_delay()
             self.record.slack = max(self.record.slack, delay - self._run_delays.get(process, delay))
             self._run_delays[process] = delay
 
     def _note_drains(self) -> None:
-        """Follow which endpoints discovery has told to drain, and which it lists as ready again."""
-        told = self.discovery.drained_at
-        for endpoint in [e for e in self._drains if e not in told]:
+        """Record which endpoints discovery has listed as draining, and which of them as ready again."""
+        draining = self.discovery.draining_since
+        for endpoint in [e for e in self._drains if e not in draining]:
             self.record.drains.append((endpoint, self._drains.pop(endpoint), clock()))
-        self._drains.update(told)
+        self._drains.update(draining)
 
     def _start_process(self) -> SoakProcess:
         process = SoakProcess(self.folder, self._process_count, self.program)
@@ -224,9 +224,9 @@
             steps.append(
                 (listing.at, lambda s=listing: self.discovery.set_draining(s.endpoint, s.draining))  # type: ignore[misc]
             )
-        for trouble in plan.discovery_steps:
-            steps.append((trouble.at, lambda mode=trouble.mode: self._set_discovery(mode)))  # type: ignore[misc]
-            steps.append((trouble.at + trouble.span, lambda: self._set_discovery(DiscoveryMode.UP)))
+        for outage in plan.discovery_steps:
+            steps.append((outage.at, lambda mode=outage.mode: self._set_discovery(mode)))  # type: ignore[misc]
+            steps.append((outage.at + outage.duration, lambda: self._set_discovery(DiscoveryMode.UP)))
         steps += [(step.at, lambda step=step: self._signal(step)) for step in plan.signals]  # type: ignore[misc]
         return sorted(steps, key=lambda step: step[0])
 
@@ -238,7 +238,7 @@
         self.discovery.mode = mode
 
     def _signal(self, step: SignalStep) -> None:
-        if step.rewrites:
+        if step.rewrites_config:
             self._write_files()
         self.processes[-1].send(step.name)
 
@@ -250,7 +250,7 @@
         self.loop.start_task(self._drive(client, step), "client's driver")
 
     def _drive(self, client: SoakClient, step: ClientStep) -> Coroutine[None]:
-        """Do what a client does, until its connection ends."""
+        """Do what the step says for a client, until its connection ends."""
         record, began = client.record, clock()
         while client.conn is None:
             if clock() - began > SECOND:
@@ -259,19 +259,19 @@
         sent = 0
         if step.kind is ClientKind.PARTIAL:
             sent = client.begin_opening()
-        if step.kind in (ClientKind.RESTS, ClientKind.PARTIAL):
-            yield from self._pause(clock() + step.span)
-        if step.kind is ClientKind.IDLE or (step.kind is ClientKind.PARTIAL and step.span > 2 * SECOND):
+        if step.kind in (ClientKind.OPENS_LATE, ClientKind.PARTIAL):
+            yield from self._pause(clock() + step.delay)
+        if step.kind is ClientKind.IDLE or (step.kind is ClientKind.PARTIAL and step.delay > 2 * SECOND):
             return
-        if not record.ended_at and not record.got.count(record.words["rejected"]):
+        if not record.ended_at and not record.got.count(record.messages["rejected"]):
             client.finish_opening(sent)
-        leaves_at = clock() + step.span if step.kind is ClientKind.LEAVES else 0
+        leave_at = clock() + step.delay if step.kind is ClientKind.LEAVES else 0
         while not record.ended_at and not record.left_at:
-            if leaves_at and clock() >= leaves_at:
+            if leave_at and clock() >= leave_at:
                 client.leave()
             elif record.has("up") and not record.has("moved"):
-                client.ask()
-            yield from self._pause(min(clock() + ASK_INTERVAL, leaves_at or clock() + ASK_INTERVAL))
+                client.send_line()
+            yield from self._pause(min(clock() + LINE_INTERVAL, leave_at or clock() + LINE_INTERVAL))
 
     @staticmethod
     def _pause(due: int) -> Coroutine[None]:
@@ -281,7 +281,7 @@
     # --- the whole run ---
 
     def play(self) -> SoakRecord:
-        """Play the plan to the end of its processes; none of them is left."""
+        """Play the plan until all processes have ended."""
         try:
             self._write_files()
             self._start_process()
@@ -317,22 +317,22 @@
             self.record.descriptors = before, self.processes[-1].descriptors()
 
     def _restart(self) -> None:
-        """A second process takes over; the first one is told to end, and has its time for that."""
+        """Let a second process take over; the first one gets SIGTERM and the usual time to drain."""
         former = self.processes[-1]
         self._start_process()
         former.send("SIGTERM")
 
     def _crash(self) -> None:
-        """Kill the process and start it again; what its clients had is not judged."""
+        """Kill the process and start it again; clients from before the crash are not judged."""
         self.processes.pop().kill()
-        lost = {client.record.request_id for client in self.clients}
+        crashed = {client.record.request_id for client in self.clients}
         self.record.clients.clear()
-        self.record.attempts[:] = [a for a in self.record.attempts if a.request_id not in lost]
-        self._crashed_requests |= lost
+        self.record.attempts[:] = [a for a in self.record.attempts if a.request_id not in crashed]
+        self._crashed_requests |= crashed
         self._start_process()
 
     def _end(self) -> None:
-        """SIGTERM, the last signals, and SIGKILL at the earliest moment at which it may come."""
+        """Send SIGTERM, the last signals, and SIGKILL at the earliest time a supervisor may send it."""
         term_at = self.record.term_at = clock()
         process, signals = self.processes[-1], list(self.plan.signals_after_end)
         process.send("SIGTERM")
@@ -342,14 +342,14 @@
             self._run_until(self._have_all_ended, due)
             while signals and clock() >= term_at + signals[0].at:
                 self._signal(signals.pop(0))
-        for one in self.processes:
-            one.kill()
+        for started in self.processes:
+            started.kill()
         self.record.ended_at = clock()
-        lost = self._crashed_requests  # an attempt that was being made may have come after the crash
-        self.record.attempts[:] = [a for a in self.record.attempts if a.request_id not in lost]
-        self._run_until(lambda: False, clock() + 50 * MS)  # what the end of the process brings
-        for endpoint, told_at in self._drains.items():
-            self.record.drains.append((endpoint, told_at, 0))
+        crashed = self._crashed_requests  # an attempt in progress may have arrived after the crash
+        self.record.attempts[:] = [a for a in self.record.attempts if a.request_id not in crashed]
+        self._run_until(lambda: False, clock() + 50 * MS)  # to record the ends of connections
+        for endpoint, listed_at in self._drains.items():
+            self.record.drains.append((endpoint, listed_at, 0))
 
     def _have_all_ended(self) -> bool:
         return all(process.process.poll() is not None for process in self.processes)
@@ -365,8 +365,8 @@
 
 
 def play(plan: SoakPlan, folder: Path, program: tuple[str, ...] = ()) -> SoakRecord:
-    """Play a plan in a folder that is its own; returns what was recorded.
+    """Play a plan in a folder used for nothing else, and return the record.
 
-    ``program`` is what to run in place of ``python -m arrowseam``.
+    ``program`` replaces ``python -m arrowseam`` if given.
     """
     return SoakPlayer(plan, folder, program).play()
--- a/arrowseam/lab/soak_stand_ins.py
+++ b/arrowseam/lab/soak_stand_ins.py
@@ -1,6 +1,6 @@
-"""Stand-ins of a soak run: endpoints, clients and discovery that record what came and when.
+"""Stand-ins of a soak run: endpoints, clients and discovery that record what they receive and when.
 
-They never judge. Times are those of ``net.clock``, microseconds.
+They never judge. Times are microseconds of ``net.clock``.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from arrowseam.lab.soak_plan import (
     DEADLINE,
     MS,
-    REFUSES,
+    REFUSING,
     SECOND,
     SHORT_DEADLINE,
     DiscoveryMode,
@@ -31,18 +31,18 @@
 
 ENDPOINT_PORTS = {Wire.LINES: 20_000, Wire.NATS: 21_000}  # of the first endpoint
 DISCOVERY_PORT = 22_000
-LATE_ANSWER = 400 * MS
-SLOW_CALL = 900 * MS
-ASK_INTERVAL = 250 * MS  # between two lines of a client that uses its connection
-IDENTIFIER = {Wire.LINES: re.compile(rb"OPEN ([0-9a-f]{16})"), Wire.NATS: re.compile(rb'"name":\s*"(\d+)"')}
-DEADLINES = {RequestKind.FRAGILE: SHORT_DEADLINE}
+LATE_ANSWER_DELAY = 400 * MS
+SLOW_CALL_DELAY = 900 * MS
+LINE_INTERVAL = 250 * MS  # between two lines of a client
+REQUEST_ID = {Wire.LINES: re.compile(rb"OPEN ([0-9a-f]{16})"), Wire.NATS: re.compile(rb'"name":\s*"(\d+)"')}
+DEADLINES = {RequestKind.NON_IDEMPOTENT: SHORT_DEADLINE}
 
 
 def own_host() -> str:
     """Return a loopback address that no other process of this machine uses.
 
-    Listeners share ports (``SO_REUSEPORT``): on one address two runs that choose the same ports listen there
-    without an error, and get each other's connections.
+    Listeners share ports (``SO_REUSEPORT``): two runs with the same address and ports would listen without an
+    error and get each other's connections.
     """
     pid = os.getpid()
     return f"127.{1 + (pid >> 16) % 250}.{pid >> 8 & 255}.{pid & 255}"
@@ -56,40 +56,40 @@
     endpoint: int
     mode: str
     began_at: int
-    ended_at: int = 0  # 0: it stands
+    ended_at: int = 0  # 0: still open
     answered_at: int = 0
 
 
 @dataclass
 class ClientRecord:
-    """What one client did and got."""
+    """What one client did and received."""
 
     request_id: int
     wire: Wire
     request: RequestKind
     connected_at: int = 0
-    opened_at: int = 0  # its opening was written to the end
-    left_at: int = 0  # it closed by itself
-    ended_at: int = 0  # the proxy ended the connection
+    opened_at: int = 0  # when all of its opening was sent
+    left_at: int = 0  # when it closed the connection
+    ended_at: int = 0  # when the proxy ended the connection
     answered_at: int = 0
     got: bytearray = field(default_factory=bytearray)
-    asked_at: list[int] = field(default_factory=list)
+    sent_at: list[int] = field(default_factory=list)
     replied_at: list[int] = field(default_factory=list)
 
     @property
-    def words(self) -> dict[str, Any]:
-        """The messages of its protocol."""
+    def messages(self) -> dict[str, Any]:
+        """The messages of its protocol by name."""
         return PROTOCOL_MESSAGES[self.wire]
 
     @property
     def answers(self) -> int:
-        """Final answers, in whatever form."""
+        """How many final answers of any kind were received."""
         got = bytes(self.got)
-        return sum(got.count(self.words[word]) for word in ("up", "rejected", "failed"))
+        return sum(got.count(self.messages[name]) for name in ("up", "rejected", "failed"))
 
-    def has(self, word: str) -> bool:
-        """Whether a message of this kind has come."""
-        return self.words[word] in bytes(self.got)
+    def has(self, message: str) -> bool:
+        """Whether the message of this name has been received."""
+        return self.messages[message] in bytes(self.got)
 
     @property
     def deadline(self) -> int:
@@ -98,7 +98,7 @@
 
 
 class SoakEndpoint:
-    """An endpoint of one protocol; ``mode`` may change while it runs."""
+    """An endpoint of one protocol, whose ``mode`` may change during the run."""
 
     def __init__(self, loop: EventLoop, wire: Wire, number: int, mode: str, attempts: list[Attempt]) -> None:
         self.loop, self.wire, self.number, self.mode, self.attempts = loop, wire, number, mode, attempts
@@ -112,17 +112,17 @@
         return f"{host}:{port}"
 
     def set_mode(self, mode: str) -> None:
-        """Answer so from now on; nobody listens while it refuses."""
-        if mode == REFUSES and self.mode != REFUSES:
+        """Change how it answers; the listener is closed while it refuses connections."""
+        if mode == REFUSING and self.mode != REFUSING:
             self.listener.close()
-        elif mode != REFUSES and self.mode == REFUSES:
+        elif mode != REFUSING and self.mode == REFUSING:
             self.listener = listen(self.loop, self._address, f"s{self.number}", self.serve)
         self.mode = mode
 
     def serve(self, conn: Connection) -> Coroutine[None]:
         """Serve one connection of a proxy."""
-        words, got, attempt = PROTOCOL_MESSAGES[self.wire], bytearray(), None
-        yield from conn.send(words["greeting"], clock() + SECOND)
+        messages, got, attempt = PROTOCOL_MESSAGES[self.wire], bytearray(), None
+        yield from conn.send(messages["greeting"], clock() + SECOND)
         try:
             while not conn.eof and not conn.closed:
                 if not conn.read():
@@ -141,7 +141,7 @@
                 attempt.ended_at = clock()
 
     def _attempt(self, got: bytearray) -> Attempt | None:
-        found = IDENTIFIER[self.wire].search(got)
+        found = REQUEST_ID[self.wire].search(got)
         complete = got.endswith(b"\n") if self.wire is Wire.LINES else b"PING\r\n" in got
         if found is None or not complete:
             return None
@@ -150,23 +150,23 @@
         return self.attempts[-1]
 
     def _answer(self, conn: Connection, attempt: Attempt) -> Coroutine[bool]:
-        """Answer an opening as the mode says; returns whether the connection goes on."""
-        words = PROTOCOL_MESSAGES[self.wire]
+        """Answer an opening according to the mode; returns whether the connection stays open."""
+        messages = PROTOCOL_MESSAGES[self.wire]
         match attempt.mode:
             case "reset":
                 conn.close(reset=True)
                 return False
             case "busy" | "error":
-                yield from conn.send(words["server " + attempt.mode], clock() + SECOND)
+                yield from conn.send(messages["server " + attempt.mode], clock() + SECOND)
                 return False
             case "silent":
                 return True
             case "late":
-                due = clock() + LATE_ANSWER
+                due = clock() + LATE_ANSWER_DELAY
                 while clock() < due:
                     conn.read()
                     if conn.eof:
-                        return False  # given up
+                        return False  # the proxy gave up
                     yield due
         attempt.answered_at = clock()
         greeting = b"UP r1\r\n" if self.wire is Wire.LINES else b"PONG\r\n"
@@ -180,7 +180,7 @@
 
 
 class SoakClient:
-    """A client that connects at once; what it sends and when is its player's choice."""
+    """A client that connects at once, and sends what the player calls for."""
 
     def __init__(self, loop: EventLoop, address: Address, record: ClientRecord) -> None:
         self.loop, self.record = loop, record
@@ -190,7 +190,7 @@
     def _run(self, address: Address) -> Coroutine[None]:
         conn = yield from self.loop.connect(address, clock() + SECOND)
         if conn is None:
-            return  # nobody listens any more
+            return  # the proxy no longer listens
         self.conn, record = conn, self.record
         record.connected_at = clock()
         while not conn.eof and not conn.closed:
@@ -204,15 +204,15 @@
 
     def _take(self, data: bytes) -> None:
         record = self.record
-        before = bytes(record.got).count(record.words["reply"])
+        before = bytes(record.got).count(record.messages["reply"])
         record.got += data
         if not record.answered_at and record.answers:
             record.answered_at = clock()
-        replies = bytes(record.got).count(record.words["reply"]) - before
+        replies = bytes(record.got).count(record.messages["reply"]) - before
         record.replied_at += [clock()] * replies
 
     def send(self, data: bytes) -> bool:
-        """Write at once; False if that is not possible."""
+        """Write all of ``data`` without waiting; False if that is not possible."""
         conn = self.conn
         return conn is not None and not conn.closed and not conn.eof and conn.write(data) == len(data)
 
@@ -221,7 +221,7 @@
         self.finish_opening(0)
 
     def begin_opening(self) -> int:
-        """Send half of the opening; returns how much that is."""
+        """Send half of the opening; returns the number of bytes sent."""
         half = len(self._opening()) // 2
         return half if self.send(self._opening()[:half]) else 0
 
@@ -233,43 +233,43 @@
     def _opening(self) -> bytes:
         record = self.record
         if record.wire is Wire.NATS:
-            opening: bytes = record.words["open"](record.request_id, record.request.encode())
+            opening: bytes = record.messages["open"](record.request_id, record.request.encode())
             return opening
         wait = record.deadline // MS
         return b"OPEN %016x 0a c=%s,t=acme,d=%d\r\n" % (record.request_id, record.request.encode(), wait)
 
-    def ask(self) -> None:
-        """Send a line that its endpoint answers."""
-        if self.send(self.record.words["ask"]):
-            self.record.asked_at.append(clock())
+    def send_line(self) -> None:
+        """Send a line that the endpoint replies to."""
+        if self.send(self.record.messages["ask"]):
+            self.record.sent_at.append(clock())
 
     def leave(self) -> None:
-        """Close."""
+        """Close the connection, if the proxy has not ended it."""
         if self.conn is not None and not self.record.ended_at:
             self.record.left_at = clock()
             self.conn.close()
 
 
 class SoakDiscovery:
-    """The discovery service; ``told_at`` is when it last sent a list that has an endpoint draining."""
+    """The discovery service; it records when it first listed an endpoint as draining."""
 
     def __init__(self, loop: EventLoop, rows: list[dict[str, Any]]) -> None:
         self.loop, self.rows, self.version = loop, rows, 1
         self.mode = DiscoveryMode.UP
-        self.drained_at: dict[int, int] = {}  # endpoint -> when it was first told to drain
+        self.draining_since: dict[int, int] = {}  # endpoint -> when it was first listed as draining
         self.listener = listen(loop, (own_host(), DISCOVERY_PORT), "discovery", self.serve)
 
     def set_draining(self, endpoint: int, draining: bool) -> None:
-        """Change the list."""
+        """List an endpoint as draining, or as ready again."""
         lifecycle = "Terminating" if draining else "Ready"
         if self.rows[endpoint]["lifecycle"] != lifecycle:
             self.rows[endpoint] = self.rows[endpoint] | {"lifecycle": lifecycle}
             self.version += 1
             if not draining:
-                self.drained_at.pop(endpoint, None)
+                self.draining_since.pop(endpoint, None)
 
     def serve(self, conn: Connection) -> Coroutine[None]:
-        """Answer calls, and long polls once the list changes."""
+        """Answer calls at once, and long polls when the list has changed."""
         while (line := (yield from conn.read_line(1_000, clock() + 60 * SECOND))) is not None:
             if not line.startswith(b"GET"):
                 continue
@@ -277,20 +277,20 @@
             if self.mode is DiscoveryMode.DOWN:
                 conn.close(reset=True)
                 return
-            due = clock() + (SLOW_CALL if self.mode is DiscoveryMode.SLOW else 0)
-            while clock() < due or self._has_nothing_to_tell(int(since[1]) if since else -1):
+            due = clock() + (SLOW_CALL_DELAY if self.mode is DiscoveryMode.SLOW else 0)
+            while clock() < due or self._has_no_update(int(since[1]) if since else -1):
                 yield clock() + 5 * MS
                 if conn.peer_closed:
                     return
             yield from self._send_list(conn, complete=not since)
 
-    def _has_nothing_to_tell(self, since: int) -> bool:
+    def _has_no_update(self, since: int) -> bool:
         return self.mode is DiscoveryMode.SILENT or since >= self.version
 
     def _send_list(self, conn: Connection, complete: bool) -> Coroutine[None]:
         for endpoint, row in enumerate(self.rows):
             if row["lifecycle"] == "Terminating":
-                self.drained_at.setdefault(endpoint, clock())
+                self.draining_since.setdefault(endpoint, clock())
         document = {"generation": self.version, "reset": complete, "instances": self.rows}
         text = json.dumps(document).encode()
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text)
