--- a/tests/data/wire/make_membership.py
+++ b/tests/data/wire/make_membership.py
@@ -1,4 +1,4 @@
-"""Writes membership.json: the bytes of membership messages as version 0.1.0 before the renaming wrote them.
+"""Writes membership.json: the bytes of membership messages, written by version 0.1.0 before its names were changed.
 
 Runs only on that version (its package is called arrowseam.fleet), from its root:
 
@@ -23,7 +23,7 @@
 
 
 def parts(zone):
-    """One datagram of every kind, one state sync of every part, for a fleet with or without zones."""
+    """One datagram of every kind and one state sync of every part, for a cluster with or without zones."""
     news = [record(f"n{state.value}", state=state, by="m2", zone=zone) for state in State]
     cordons = [Cordon("s1", 5 << 16, "m1"), Cordon("s2", 7, "m1", 7, "m1", "m2"), Cordon("!release", 9, "m3")]
     summaries = [codec.Summary("b", 9, "m4", 2, 1, 1)] if zone else []
@@ -51,7 +51,7 @@
 
 
 def spoken(zone):
-    """What a view itself sends, from a fixed seed: the first datagrams and streams of a start."""
+    """What a view sends with a fixed seed: its first datagrams and streams after a start."""
     spec = Spec(zone=zone, zones=ZONES if zone else (), configured=3, seeds=(("10.0.0.9", 7000),))
     view = View(record("me", zone=zone), spec, random.Random(5), INFO)
     sent = view.start(0)
@@ -82,7 +82,7 @@
 
 
 def cordons():
-    """Stamps of the hybrid logical clock and a digest, of fixed words."""
+    """Timestamps of the hybrid logical clock and the digest, from a fixed series of cordons."""
     held = Cordons()
     held.say("s1", True, "m1", 1_700_000_000_000)
     held.say("s1", False, "m2", 1_700_000_000_000)
--- a/tests/data/wire/make_membership_zones.py
+++ b/tests/data/wire/make_membership_zones.py
@@ -1,4 +1,4 @@
-"""Writes ``membership_zones.json``: what a view with zones sends, from a fixed seed, on the version that runs it.
+"""Writes ``membership_zones.json``: what a view with zones sends with a fixed seed, in the version that runs the script.
 
     PYTHONPATH=tests python tests/data/wire/make_membership_zones.py > tests/data/wire/membership_zones.json
 """
--- a/tests/data/wire/make_proxy.py
+++ b/tests/data/wire/make_proxy.py
@@ -1,4 +1,4 @@
-"""Writes proxy.json: bytes made by the functions of the version before the names were changed.
+"""Writes proxy.json: bytes encoded by the version before its names were changed.
 
 Runs only on that version (commit ff0fc86), from its root, by its interpreter: python make_proxy.py OUT
 """
@@ -96,7 +96,7 @@
 
 
 def handover_state() -> None:
-    """The answer to the hello, of a real proxy that nobody has connected to."""
+    """The answer to the hello, from a real proxy without clients."""
     loop = Loop(500)
     station = upgrade.Station(Path("."), "n0", "127.0.0.1:0")
     config = read_config(json.dumps(CONFIG | {"control": ""}).encode())
@@ -119,7 +119,7 @@
 
 
 class Child:
-    """Speaks to a real worker in this process and keeps what was said both ways."""
+    """Runs a real worker in this process and records its requests and responses."""
 
     def __init__(self) -> None:
         self.worker, self.asked, self.answered, self.heard = worker.Worker(), [], [], []
--- a/tests/data/wire/make_rollouts.py
+++ b/tests/data/wire/make_rollouts.py
@@ -1,6 +1,6 @@
 """Makes rollouts.json: one of every kind of frame, record, command, state and table, with fixed contents.
 
-It runs on the version before the names were changed (it imports ``arrowseam.agree``):
+It runs on the version before its names were changed (it imports ``arrowseam.agree``):
 
     cd OLD_TREE && python PATH/make_rollouts.py > PATH/rollouts.json
 """
--- a/tests/data/wire/make_settings_digest.py
+++ b/tests/data/wire/make_settings_digest.py
@@ -1,4 +1,4 @@
-"""Writes settings_digest.json beside it; runs on the version before the settings got the names of the field.
+"""Writes settings_digest.json beside it; runs on the version before the settings were renamed in the code.
 
     cd CHECKOUT_OF_THAT_VERSION && python .../tests/data/wire/make_settings_digest.py > .../settings_digest.json
 """
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary names only modules and terms that exist, so that a newcomer can look each of them up."""
+"""The glossary names only modules, terms and log events that exist, so that each can be looked up."""
 
 from __future__ import annotations
 
@@ -36,11 +36,13 @@
         assert re.search(rf"(?<![\w.]){re.escape(name)}(?!\w)", text), f"{word}: {name} is not in {modules}"
 
 
-def test_every_log_event_in_the_glossary_is_one_that_is_written() -> None:
+def test_every_log_event_in_the_glossary_exists() -> None:
     from arrowseam.logs import EVENTS
 
     section = (ROOT / "docs" / "glossary.md").read_text(encoding="utf-8").partition("## Log events")[2]
     matches = [ROW.fullmatch(line) for line in section.splitlines() if line.startswith("| `")]
-    now = [name for match in matches if match for name in re.findall(r"`([a-z_]+\.[a-z_]+)`", match["term"])]
-    assert len(now) > 30
-    assert set(now) <= EVENTS
+    events = [
+        name for match in matches if match for name in re.findall(r"`([a-z_]+\.[a-z_]+)`", match["term"])
+    ]
+    assert len(events) > 30
+    assert set(events) <= EVENTS
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that fail for a known fault, on small projects with this folder's ``conftest.py``."""
+"""The list of known failures, tested on small projects with this folder's ``conftest.py``."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import FORM, read_red
+from conftest import LINE_FORMAT, read_known_failures
 
 TESTS = """\
 import pytest
@@ -29,14 +29,14 @@
     pass
 
 @pytest.mark.xfail(strict=True)
-def test_passes_in_spite_of_a_mark():
+def test_passes_despite_a_mark():
     pass
 """
 BAD = "tests/test_it.py::test_bad[1] | pytest, seed 7 | the sum is off by one | issue 34\n"
 BAD_2 = "tests/test_it.py::test_bad[2] | pytest | the same | 34\n"
 SET_UP = "tests/test_it.py::test_set_up | pytest | no such service | #35\n"
 GOOD = "tests/test_it.py::test_good | pytest | it was slow | 36\n"
-MARKED = "tests/test_it.py::test_passes_in_spite_of_a_mark | pytest | it was slow | 36\n"
+MARKED = "tests/test_it.py::test_passes_despite_a_mark | pytest | it was slow | 36\n"
 AT_TIMES = "at times: "
 TITLE = "known red, by KNOWN-RED.txt"
 
@@ -53,9 +53,9 @@
 def run(project: Path, known: str | None, *args: str) -> tuple[int, str]:
     if known is not None:
         (project / "KNOWN-RED.txt").write_text(known)
-    env = os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}  # which take seconds to load
-    words = [sys.executable, "-m", "pytest", *args]
-    done = subprocess.run(words, cwd=project, env=env, capture_output=True, text=True, timeout=60)
+    env = os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}  # plugins take seconds to load
+    command = [sys.executable, "-m", "pytest", *args]
+    done = subprocess.run(command, cwd=project, env=env, capture_output=True, text=True, timeout=60)
     return done.returncode, done.stdout + done.stderr
 
 
@@ -67,14 +67,14 @@
     assert "KNOWN-RED" not in text
 
 
-def test_listed_tests_that_fail_are_passed_over_and_printed(project):
+def test_failures_of_listed_tests_do_not_fail_the_run_and_are_printed(project):
     code, text = run(project, BAD + BAD_2 + SET_UP, "-k", "bad or set_up or good")
     assert code == 0
     assert "1 passed, 1 deselected, 3 xfailed" in text
     assert text.partition(TITLE)[2].splitlines()[1:4] == (BAD + BAD_2 + SET_UP).splitlines()
 
 
-def test_what_is_not_listed_fails_as_ever(project):
+def test_a_failure_that_is_not_listed_fails_the_run(project):
     code, text = run(project, BAD, "-k", "bad or good")
     assert code == 1
     assert "1 failed, 1 passed, 2 deselected, 1 xfailed" in text
@@ -83,10 +83,10 @@
 
 
 def test_a_listed_test_that_passes_is_an_error(project):
-    code, text = run(project, GOOD + MARKED + BAD, "-k", "good or spite or bad")
+    code, text = run(project, GOOD + MARKED + BAD, "-k", "good or despite or bad")
     assert code == 1
     assert "3 failed, 1 deselected, 1 xfailed" in text
-    assert text.count("KNOWN-RED.txt lists this test, and it passes: take its line out") == 2
+    assert text.count("KNOWN-RED.txt lists this test, and it passes: remove its line") == 2
     for line in (GOOD, MARKED):
         assert f"FAILED {line.split()[0]}\n" in text
     listed = text.partition(TITLE)[2]
@@ -95,9 +95,9 @@
     assert MARKED not in listed
 
 
-def test_a_test_that_fails_at_times_is_passed_over_either_way_and_printed(project):
+def test_a_test_listed_as_failing_at_times_may_fail_or_pass_and_is_printed(project):
     code, text = run(project, AT_TIMES + BAD + AT_TIMES + GOOD, "-k", "bad or good")
-    assert code == 1  # the other bad one is not listed
+    assert code == 1  # the other failing test is not listed
     assert "1 failed, 1 passed, 2 deselected, 1 xfailed" in text
     listed = text.partition(TITLE)[2]
     assert f"failed in this run: {AT_TIMES}{BAD}" in listed
@@ -107,7 +107,7 @@
     assert text.count(" in this run: ") == 3
 
 
-def test_a_list_may_be_long(project):
+def test_a_list_may_have_many_lines(project):
     code, text = run(project, BAD + BAD_2 + SET_UP + AT_TIMES + GOOD, "-k", "bad or set_up or good")
     assert code == 0
     assert "1 passed, 1 deselected, 3 xfailed" in text
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize(
     ("known", "why"),
     [
-        (BAD + "\n", f"KNOWN-RED.txt:2: not '{FORM}': ''"),
+        (BAD + "\n", f"KNOWN-RED.txt:2: not '{LINE_FORMAT}': ''"),
         ("sometimes: " + BAD, "KNOWN-RED.txt:1: not"),
         (AT_TIMES + BAD + BAD, "KNOWN-RED.txt:2: listed twice: tests/test_it.py::test_bad[1]"),
         (BAD + "# a remark\n", "KNOWN-RED.txt:2: not"),
@@ -132,11 +132,11 @@
 )
 def test_a_malformed_list_is_an_error(known, why):
     with pytest.raises(pytest.UsageError) as error:
-        read_red(known)
+        read_known_failures(known)
     assert str(error.value).startswith(why)
 
 
-def test_a_list_that_is_wrong_ends_the_run_before_any_test(project):
+def test_a_malformed_list_ends_the_run_before_any_test(project):
     code, text = run(project, BAD * 2)
     assert code == pytest.ExitCode.USAGE_ERROR
     assert "KNOWN-RED.txt:2: listed twice" in text
@@ -147,14 +147,14 @@
     assert f"KNOWN-RED.txt: no such test: {missing}" in text
 
 
-def test_a_part_of_the_tests_can_be_run_by_itself(project):
+def test_a_list_does_not_prevent_runs_of_some_tests(project):
     (project / "tests" / "test_other.py").write_text("def test_other():\n    pass\n")
     known = BAD.replace("[1]", "[3]")
     assert run(project, known, "tests/test_other.py", "tests/test_it.py::test_good")[0] == 0
     assert run(project, known, "tests/test_it.py")[0] == pytest.ExitCode.USAGE_ERROR
 
 
-def test_a_file_that_cannot_be_read_is_told_by_itself(project):
+def test_a_file_that_cannot_be_imported_is_the_only_error(project):
     (project / "tests" / "test_it.py").write_text("import nothing_of_that_name\n")
     code, text = run(project, BAD)
     assert code == 2
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports between the packages run one way: each may import only packages that stand below it.
+"""Packages are layered: each may import only packages of lower layers.
 
 Imports inside functions and under ``TYPE_CHECKING`` are counted like any other.
 """
@@ -11,7 +11,7 @@
 import pytest
 
 PACKAGE = Path(__file__).parent.parent / "arrowseam"
-LAYERS = (  # from the bottom up; packages of one layer do not import each other
+LAYERS = (  # lowest first; packages of one layer do not import each other
     ("__version__", "errors", "process_signals"),
     ("logs", "outcomes", "address"),
     ("balancer",),
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("module", MODULES)
-def test_imports_run_one_way(module: str) -> None:
+def test_a_package_imports_only_lower_layers(module: str) -> None:
     package = module.split("/")[0].removesuffix(".py")
     others = imported_packages(ast.parse((PACKAGE / module).read_text(encoding="utf-8"))) - {package}
     above = {name for name in others if RANK[name] >= RANK[package]}
