--- a/arrowseam/lab/soak_plan.py
+++ b/arrowseam/lab/soak_plan.py
@@ -38,7 +38,7 @@
 
     STAYS = "stays"  # uses its open connection until the process ends
     LEAVES = "leaves"  # closes after a while, with or without its answer
-    OPENS_LATE = "opens_late"  # connects, and sends its opening later
+    OPENS_LATE = "rests"  # connects, and sends its opening later
     PARTIAL = "partial"  # sends half of its opening, and the rest later or never
     IDLE = "idle"  # connects and sends nothing
 
--- a/tests/network.py
+++ b/tests/network.py
@@ -158,8 +158,8 @@
         self.until(lambda: time.monotonic() >= end, seconds + 5)
 
     def up(self, count: int = 1, **fields: Any) -> list[StandInClient]:
-        """Connect clients that are all served. Tries again with new ones if a round took over 0.1 s: to the
-        proxy, a stand-in on its own loop is then an endpoint that does not answer."""
+        """Connect clients and wait until all are served. Tries again with new ones if a round took over
+        0.1 s: to the proxy, a stand-in on its own loop is then an endpoint that does not answer."""
         for _ in range(3):
             found = [self.client(next(self.numbers), **fields) for _ in range(count)]
             self.until(lambda found=found: all(c.answers for c in found))
