--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
     make_endpoints,
     snapshot,
 )
-from network import World, create_worlds
+from network import ProxyNetwork, create_networks
 
 from arrowseam.balancer.events import (
     CordonChanged,
@@ -36,8 +36,8 @@
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     ],
 )
 def test_commands_are_answered(command: bytes, answer: bytes):
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     assert w.control(command).startswith(answer)
     w.close()
 
@@ -67,9 +67,9 @@
     """A process without an endpoint list, or one that shuts down, cannot serve. If ``health`` does not report
     that, clients are sent to it.
     """
-    w = World("lines", "up", known=False)
+    w = ProxyNetwork("lines", "up", known=False)
     assert w.control(b"health\n").startswith(b"NAK")
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(lambda: w.driver.endpoint_count)
     assert w.control(b"health\n").startswith(b"ACK")
     w.handler.shutdown.is_draining = True
@@ -79,7 +79,7 @@
 
 def test_callers_with_no_or_a_partial_command_block_nobody():
     """A partial command must not be executed either, also when its caller disconnects."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     callers = [w.call(b"") for _ in range(30)] + [w.call(b"cordon s0") for _ in range(3)]
     w.run(0.05)
     began = clock()
@@ -127,18 +127,18 @@
     w.servers[0].mode = "busy"
     rejected = [w.client(next(w.numbers), b"resident") for _ in range(5)]
     w.until(lambda: all(c.ended_at for c in rejected))
-    counters = w.figures()
+    counters = w.counters()
     assert counters["edge.replies.tech.success"] == len(served)
     assert counters["edge.replies.resident.overload"] == sum(c.has("rejected") for c in rejected)
     assert counters["edge.replies.resident.error"] == sum(c.has("failed") for c in rejected)
     opening = b"OPEN " if w.wire == "lines" else b"CONNECT "
-    opening_count = sum(opening in got for server in w.servers for got in server.heard)
+    opening_count = sum(opening in got for server in w.servers for got in server.received)
     assert counters["edge.dispatches"] == opening_count
     assert counters["edge.concurrent"] == len(served)
     assert counters["edge.targets"] == 3
     served[0].conn.close()
     w.until(lambda: len(w.handler.active) == len(served) - 1)
-    assert w.figures()["edge.concurrent"] == len(served) - 1
+    assert w.counters()["edge.concurrent"] == len(served) - 1
 
 
 def test_a_cordoned_endpoint_gets_no_requests_and_its_clients_are_migrated(world):
@@ -147,21 +147,21 @@
     """
     w = world("up", "up")
     w.up(12)
-    received_before = len(w.servers[0].heard)
+    received_before = len(w.servers[0].received)
     assert received_before
     for _ in range(2):
         assert w.control(b"cordon s0\r\n") == b"ACK\n"
-    assert w.figures()["edge.targets_disabled"] == 1
+    assert w.counters()["edge.targets_disabled"] == 1
     # Neither a new list nor a restart of the endpoint ends the cordon.
-    w.tell(s0={"startedAtMs": 1_700_000_000_000}, s1={})
+    w.update_list(s0={"startedAtMs": 1_700_000_000_000}, s1={})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     w.up(10)
     w.until(lambda: not w.servers[0].live, 8)
-    assert len(w.servers[0].heard) == received_before
+    assert len(w.servers[0].received) == received_before
     assert w.control(b"uncordon s0\r\n") == b"ACK\n"  # one uncordon undoes both cordons
-    assert w.figures()["edge.targets_disabled"] == 0
+    assert w.counters()["edge.targets_disabled"] == 0
     w.up(20)
-    w.until(lambda: len(w.servers[0].heard) > received_before)
+    w.until(lambda: len(w.servers[0].received) > received_before)
 
 
 def test_a_cordon_cancels_an_attempt_that_has_sent_nothing(world):
@@ -184,7 +184,7 @@
     assert client.has("up")
     assert selected[0] != selected[1]
     first = w.servers[int(selected[0][1])]
-    assert not any(b"OPEN" in got or b"CONNECT" in got for got in first.heard)
+    assert not any(b"OPEN" in got or b"CONNECT" in got for got in first.received)
     assert not w.driver.balancer.outliers.failing  # it does not count as a failure of the endpoint
 
 
@@ -207,7 +207,7 @@
     client = w.client()
     w.until(lambda: client.answers)
     assert client.has("up")
-    assert not w.servers[int(chosen[0][1])].heard
+    assert not w.servers[int(chosen[0][1])].received
 
 
 # --- the balancer alone -----------------------------------------------------------------------------------
@@ -284,7 +284,7 @@
 
 def test_all_descriptors_of_a_caller_are_closed():
     """A caller sends a command and disconnects. None of its descriptors may stay open."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     w.until(lambda: w.calls)  # discovery's connection must not be counted as the caller's
     open_before = sum(isinstance(c, Connection) for c in w.loop.watched.values())
     w.control(b"health\n")
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from network import World, free_port
+from network import ProxyNetwork, free_port
 
 from arrowseam.config import operator
 from arrowseam.lab.local_cluster import LocalCluster
@@ -201,7 +201,7 @@
 def test_turning_membership_off_restores_the_configured_proxy_count() -> None:
     """The last proxy count of the view used to stay in force after membership was turned off."""
     fleet = operator.Fleet(listen=f"127.0.0.1:{free_port()}")
-    world = World("lines", "up", operator=operator.Operator(fleet=fleet))
+    world = ProxyNetwork("lines", "up", operator=operator.Operator(fleet=fleet))
     try:
         module = world.driver.balancer
         assert module.settings.proxy_count == 1  # alone, as configured
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 import pytest
-from network import World, free_port
+from network import ProxyNetwork, free_port
 
 from arrowseam.hot_restart.channel import DescriptorConnection, HandoverChannel
 from arrowseam.hot_restart.cordon_file import CordonFile
@@ -30,7 +30,7 @@
     """A world in which the proxy runs in child processes; ``wire`` selects the protocol that clients use."""
 
     def __init__(self, wire: str, tmp_path: Path, *modes: str) -> None:
-        self.world = World(wire, *(modes or ("up", "up")))
+        self.world = ProxyNetwork(wire, *(modes or ("up", "up")))
         self.folder, self.processes = tmp_path, []
         edge_port, nats_port = free_port(), free_port()
         self.config = self.world.doc | {"listen": f"127.0.0.1:{edge_port}"}
@@ -152,7 +152,7 @@
     for server in w.servers:
         server.mode = "silent"
     w.client()
-    w.until(lambda: w.flying)  # an unanswered attempt keeps the old process alive for a while
+    w.until(lambda: w.in_flight)  # an unanswered attempt keeps the old process alive for a while
     new = proxy.start()
     new_control = w.addresses["control"]
     w.addresses["control"] = old_control  # the old process still runs and takes commands
@@ -162,15 +162,15 @@
     w.run(0.2)
     for server in w.servers:
         server.mode = "up"
-    before = len(w.servers[1].heard)
+    before = len(w.servers[1].received)
     w.up(10)
-    assert len(w.servers[1].heard) == before
+    assert len(w.servers[1].received) == before
     for process in (old, new):
         process.kill()
         process.wait()
     proxy.start()
     w.up(10)
-    assert len(w.servers[1].heard) == before
+    assert len(w.servers[1].received) == before
     assert proxy.call(b"uncordon s1\n") == b"ACK\n"
     assert not CordonFile(proxy.folder, "n0", proxy.config["listen"]).load()
 
@@ -196,14 +196,14 @@
     w = proxy.world
     proxy.start()
     w.until(lambda: w.calls)
-    w.tell(s0={"lifecycle": "Terminating"}, s1={})
+    w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
     calls = len(w.calls)
     proxy.start()
-    before = len(w.servers[0].heard)
+    before = len(w.servers[0].received)
     w.until(lambda: len(w.calls) > calls, 2)
     w.up(10)
-    assert len(w.servers[0].heard) == before
+    assert len(w.servers[0].received) == before
     assert all("since=2" in target for _, target in w.calls[calls:])
 
 
@@ -245,23 +245,23 @@
     old = proxy.start()
     clients = w.up(20)
     for server in w.servers:
-        server.say(w.words["half"])
+        server.send_to_all(w.messages["half"])
     w.run(0.1)
     new = proxy.start()
     w.until(lambda: old.poll() == 0, 4)
     for server in w.servers:
-        server.say(w.words["rest"])
-    message = w.words["half"] + w.words["rest"]
+        server.send_to_all(w.messages["rest"])
+    message = w.messages["half"] + w.messages["rest"]
     w.until(lambda: all(message in c.got for c in clients))
     for client in clients:
-        client.say(w.words["ask"])
+        client.send(w.messages["ask"])
     w.until(lambda: all(c.has("reply") for c in clients))
     assert not any(c.ended_at or c.has("moved") for c in clients)
-    counters = w.figures()
+    counters = w.counters()
     assert counters["edge.concurrent"] == 20
     assert counters["edge.replies.tech.success"] == 0
     clients[0].conn.close()  # a client that disconnects is no longer counted at the new process
-    w.until(lambda: w.figures()["edge.concurrent"] == 19)
+    w.until(lambda: w.counters()["edge.concurrent"] == 19)
     new.send_signal(signal.SIGTERM)  # a drain of the new process migrates the others
     w.until(lambda: all(c.ended_at for c in clients[1:]))
     assert all(c.has("moved") for c in clients[1:])
@@ -290,7 +290,7 @@
     (server,) = [s for s in w.servers if s.live]
     size = 200_000
     head = b"MSG a 1 %d\r\n" % size if w.wire == "nats" else b""
-    server.say(head + b"x" * 40_000)
+    server.send_to_all(head + b"x" * 40_000)
     w.until(lambda: len(client.got) > 10_000)
     proxy.start()
     w.run(0.1)
--- a/tests/test_protocols.py
+++ b/tests/test_protocols.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from network import LANE, SETTINGS, World, free_port
+from network import REQUEST_CLASS, SETTINGS, ProxyNetwork, free_port
 
 from arrowseam.address import parse_address
 from arrowseam.balancer.events import HealthCheckEnded, UpdateKind
@@ -56,11 +56,11 @@
 
 
 @pytest.fixture
-def world() -> Iterator[Callable[..., World]]:
-    created: list[World] = []
+def world() -> Iterator[Callable[..., ProxyNetwork]]:
+    created: list[ProxyNetwork] = []
 
-    def create(*modes: str, **fields: Any) -> World:
-        created.append(World(fields.pop("wire", "lines"), *modes, **fields))
+    def create(*modes: str, **fields: Any) -> ProxyNetwork:
+        created.append(ProxyNetwork(fields.pop("wire", "lines"), *modes, **fields))
         return created[-1]
 
     yield create
@@ -143,11 +143,11 @@
     with pytest.raises(edge_messages.OpeningError):
         edge_messages.create_request(edge_messages.parse_opening(line), config(), 0)
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: line + b"\r\n"}
+    w.messages = w.messages | {"open": lambda n, klass: line + b"\r\n"}
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
-    assert not w.servers[0].heard
+    assert not w.servers[0].received
 
 
 def test_the_fields_of_an_opening_reach_the_request():
@@ -177,11 +177,11 @@
 def test_an_opening_with_a_wrong_line_end_or_followed_by_data_is_failed(world, end):
     """Forwarded, it would be a line that the client did not send in this form."""
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: b"OPEN 01 0a c=tech,t=acme,d=1800" + end}
+    w.messages = w.messages | {"open": lambda n, klass: b"OPEN 01 0a c=tech,t=acme,d=1800" + end}
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
-    assert not w.servers[0].heard
+    assert not w.servers[0].received
 
 
 def test_no_client_waits_longer_than_its_class_allows():
@@ -200,8 +200,8 @@
     w.until(lambda: second.ended_at)
     assert bytes(second.got) == b"ERR\r\n"
     assert not first.ended_at
-    assert len(w.servers[0].heard) == 1
-    first.say(b"still here\r\n")
+    assert len(w.servers[0].received) == 1
+    first.send(b"still here\r\n")
     w.until(lambda: b"still here" in first.got)
     first.conn.close()
     w.until(lambda: not w.handler.active)
@@ -211,7 +211,7 @@
 
 def test_an_overlong_opening_is_failed(world):
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: b"OPEN " + b"x" * 5000}
+    w.messages = w.messages | {"open": lambda n, klass: b"OPEN " + b"x" * 5000}
     client = w.client()
     w.until(lambda: client.ended_at)
     assert bytes(client.got) == b"ERR\r\n"
@@ -219,7 +219,7 @@
 
 def test_pings_before_the_opening_are_answered(world):
     w = world("up")
-    w.words = w.words | {"open": lambda n, klass: b"PING\r\nPING\r\n"}
+    w.messages = w.messages | {"open": lambda n, klass: b"PING\r\nPING\r\n"}
     client = w.client()
     w.until(lambda: bytes(client.got) == b"PONG\r\nPONG\r\n")
 
@@ -228,19 +228,21 @@
     w = world("silent", "up")
     for n in range(4):
         w.client(n)
-    w.until(lambda: w.servers[1].heard)
-    (is_bounded,) = {int(got.split(b"d=")[1].split(b"\r")[0]) <= 1785 for s in w.servers for got in s.heard}
+    w.until(lambda: w.servers[1].received)
+    (is_bounded,) = {
+        int(got.split(b"d=")[1].split(b"\r")[0]) <= 1785 for s in w.servers for got in s.received
+    }
     assert is_bounded
 
 
 def test_an_adopted_connection_goes_to_its_own_endpoint(world):
     w = world("up", "up", "up")
     line = b"OPEN %02x 0a c=tech,t=acme,d=4294967,at=s2\r\n"
-    w.words = w.words | {"open": lambda n, klass: line % n}
+    w.messages = w.messages | {"open": lambda n, klass: line % n}
     clients = [w.client(n) for n in range(5)]
     w.until(lambda: all(c.has("up") for c in clients))
-    assert [len(s.heard) for s in w.servers] == [0, 0, 5]
-    assert all(b"at=s2" in got for got in w.servers[2].heard)
+    assert [len(s.received) for s in w.servers] == [0, 0, 5]
+    assert all(b"at=s2" in got for got in w.servers[2].received)
     endpoints = w.driver.balancer.endpoints.by_id
     assert endpoints[w.driver.endpoint_ids["s2"]].in_flight == 5
 
@@ -263,7 +265,7 @@
         w.driver, "report_outcome", lambda request, end: (outcomes.append(end), report(request, end))
     )
     (client,) = w.up()
-    w.servers[0].say(line)
+    w.servers[0].send_to_all(line)
     w.until(lambda: line in client.got)
     if load is not None:
         assert next(iter(w.driver.balancer.requests.by_id.values())).load == load
@@ -351,10 +353,10 @@
         )
     w = world("up", wire="nats")
     (client,) = w.up()
-    client.say(data)
+    client.send(data)
     w.until(lambda: client.ended_at and not w.handler.active)
     assert bytes(client.got).endswith(b"-ERR '%s'\r\n" % text.encode())
-    assert w.servers[0].heard[0].endswith(b"PING\r\nPING\r\n")
+    assert w.servers[0].received[0].endswith(b"PING\r\nPING\r\n")
 
 
 @pytest.mark.parametrize(
@@ -370,7 +372,7 @@
 )
 def test_the_greeting_of_a_nats_client(world, opening, answer):
     w = world("silent", wire="nats")
-    w.words = w.words | {"open": lambda n, klass: opening}
+    w.messages = w.messages | {"open": lambda n, klass: opening}
     client = w.client()
     w.until(lambda: bytes(client.got).endswith(answer))
     head, line = bytes(client.got).split(b"\r\n")[:2]
@@ -400,7 +402,7 @@
 def test_lame_duck_mode_of_an_endpoint_migrates_its_client(world):
     w = world("up", wire="nats")
     (client,) = w.up()
-    w.servers[0].say(b'MSG a 1 2\r\nhi\r\nINFO {"ldm":true,"connect_urls":["10.0.0.1:4222"]}\r\n')
+    w.servers[0].send_to_all(b'MSG a 1 2\r\nhi\r\nINFO {"ldm":true,"connect_urls":["10.0.0.1:4222"]}\r\n')
     w.until(lambda: client.ended_at and not w.handler.active)
     assert client.has("moved")
     assert b"connect_urls" not in client.got
@@ -415,17 +417,17 @@
     (client,) = w.up()
     first_part = b"PUB a 100000\r\n" + b"x" * 80000
     w.loop.start_task(client.conn.send(first_part, clock() + SECOND), "half a message")
-    w.until(lambda: len(w.servers[0].heard[0]) > 50000)
+    w.until(lambda: len(w.servers[0].received[0]) > 50000)
     w.run(0.5)
     assert not client.ended_at
     w.loop.start_task(client.conn.send(b"x" * 20000 + b"\r\n", clock() + SECOND), "the rest")
-    w.until(lambda: w.servers[0].heard[0].endswith(b"x\r\nPING\r\n"))
+    w.until(lambda: w.servers[0].received[0].endswith(b"x\r\nPING\r\n"))
 
 
 def test_no_attempt_is_made_at_the_proxys_own_address(world):
     """Seen with the example configuration: each attempt came back as a client, 500 within a moment."""
     w = world("up", wire="nats")
-    w.second.overrides["s0"] = w.second.listen
+    w.nats_config.overrides["s0"] = w.nats_config.listen
     client = w.client()
     w.until(lambda: client.ended_at)
     assert client.has("rejected")
@@ -435,7 +437,7 @@
 def test_the_proxys_pings_keep_the_connection_of_an_idle_client(world):
     w = world("up", wire="nats")
     (client,) = w.up()
-    w.until(lambda: w.servers[0].heard[0].count(b"PING") == 3)
+    w.until(lambda: w.servers[0].received[0].count(b"PING") == 3)
     w.run(0.1)
     assert bytes(client.got).count(b"PONG") == 1
     assert not client.ended_at
@@ -460,7 +462,7 @@
         ("health", b"\0nonsense\r\n\r\n", b"HTTP/1.1 400"),
     ):
         w.address = w.addresses[listener]
-        w.words = w.words | {"open": lambda n, klass, opening=opening: opening}
+        w.messages = w.messages | {"open": lambda n, klass, opening=opening: opening}
         client = w.client()
         w.until(lambda client=client: client.ended_at)
         assert bytes(client.got).startswith(answer)
@@ -509,7 +511,7 @@
     w = world("up")
     w.until(lambda: w.calls)
     assert "since=1&" in w.calls[0][1]
-    w.tell(s0={"lifecycle": "Terminating"})
+    w.update_list(s0={"lifecycle": "Terminating"})
     changed_at = clock()
     w.until(lambda: len(w.calls) == 2)
     assert "since=2&" in w.calls[1][1]
@@ -519,11 +521,11 @@
 @pytest.mark.parametrize("response", [b"[1]", b"{nonsense", b'{"instances":[{}]}'])
 def test_an_invalid_response_leaves_the_list_and_counts_as_a_failed_call(world, response):
     w = world("up")
-    w.bad = response
+    w.raw_response = response
     w.until(lambda: w.driver.balancer.poller.failures)
     assert w.driver.ready_count == 1
     w.up()
-    w.bad = None
+    w.raw_response = None
     w.until(lambda: w.driver.balancer.poller.subscribed or w.calls[-1][0] > w.calls[0][0])
 
 
@@ -546,7 +548,7 @@
         (json.dumps({"settings": SETTINGS, "seed": "xyz"}).encode(), "seed"),
         (json.dumps({"settings": SETTINGS, "listen": 5}).encode(), "listen"),
         (json.dumps({"settings": SETTINGS, "listen": "here"}).encode(), "listen"),
-        (json.dumps({"settings": SETTINGS | {"lanes": [LANE | {"aim": "x"}]}}).encode(), "aim"),
+        (json.dumps({"settings": SETTINGS | {"lanes": [REQUEST_CLASS | {"aim": "x"}]}}).encode(), "aim"),
     ],
 )
 def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text, expected):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -23,7 +23,7 @@
     settings,
     snapshot,
 )
-from network import LANE, PROTOCOL_MESSAGES, World, create_worlds
+from network import PROTOCOL_MESSAGES, REQUEST_CLASS, ProxyNetwork, create_networks
 
 from arrowseam.balancer import Balancer
 from arrowseam.balancer.actions import Fail, Reject
@@ -32,23 +32,25 @@
 from arrowseam.config.proxy import ConfigError, read_config
 from arrowseam.errors import UsageError
 
-BULK = LANE | {"name": "bulk", "effect": "fragile", "deadline": 900000}
+BULK = REQUEST_CLASS | {"name": "bulk", "effect": "fragile", "deadline": 900000}
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
-def reload(w: World, folder: Path, doc: Any, users: tuple[str, ...] = ("tech", "resident")) -> dict[str, int]:
+def reload(
+    w: ProxyNetwork, folder: Path, doc: Any, users: tuple[str, ...] = ("tech", "resident")
+) -> dict[str, int]:
     (folder / "config.json").write_text(doc if isinstance(doc, str) else json.dumps(doc))
     user_settings = {user: {"class": user, "tenant": "acme"} for user in users}
     (folder / "nats.json").write_text(json.dumps(w.nats | {"users": user_settings}))
     w.proxy.reload(str(folder / "config.json"), str(folder / "nats.json"))
-    return w.figures()
+    return w.counters()
 
 
-def changed(w: World, *path: Any, value: Any = None) -> dict[str, Any]:
+def changed(w: ProxyNetwork, *path: Any, value: Any = None) -> dict[str, Any]:
     """The configuration in use with one value changed, or (without a value) left out."""
     doc = copy.deepcopy(w.doc)
     node: Any = doc
@@ -77,7 +79,7 @@
     late_client = w.client(77, b"resident")
     w.until(lambda: late_client.ended_at)
     assert not late_client.has("up")
-    counters = w.figures()
+    counters = w.counters()
     assert counters["edge.replies.bulk.success"] == 2
     assert counters["edge.replies.resident.success"] == 1  # dropped classes keep their counters
     (request,) = [r for r in w.driver.balancer.requests.by_id.values() if r.request_class.deadline == 600000]
@@ -138,7 +140,7 @@
 @pytest.mark.parametrize("path", [("lanes", 1, "deadline"), ("caps", "max_attempts")])
 def test_deadlines_and_attempts_must_be_positive_numbers(path, value):
     """A deadline of 0 would fail every request. Such a file must be rejected."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     doc = changed(w, "settings", *path, value=value)
     w.close()
     with pytest.raises(ConfigError) as error:
@@ -149,10 +151,10 @@
 @pytest.mark.parametrize("text", ["", "{", "[]", "null", "[" * 100_000, '{"settings": 5}', "\udcff"])
 def test_an_unreadable_file_changes_nothing_and_counts_one_failure(tmp_path, text):
     """The file cannot be decoded at SIGHUP. The old settings must remain, and one failure is counted."""
-    w = World("lines", "up")
+    w = ProxyNetwork("lines", "up")
     (tmp_path / "config.json").write_bytes(text.encode("utf-8", "surrogateescape"))
     w.proxy.reload(str(tmp_path / "config.json"))
-    assert w.figures()["edge.reload_failure"] == 1
+    assert w.counters()["edge.reload_failure"] == 1
     assert w.up()
     w.close()
 
@@ -173,7 +175,7 @@
 def test_a_complete_list_requested_during_a_poll_is_fetched_after_it(world, tmp_path):
     """A reload renumbers the zones during a poll. Without a complete list, endpoints keep old numbers."""
     w = world("up")
-    w.told = [w.servers[0].row]
+    w.endpoint_rows = [w.servers[0].row]
     w.until(lambda: w.calls and "since=" in w.calls[-1][1])
     (endpoint,) = w.driver.balancer.endpoints.by_id.values()
     assert endpoint.zone == 0
@@ -191,7 +193,7 @@
     for n in range(3):
         client = w.client(n)
         w.until(lambda: client.ended_at)  # noqa: B023
-    assert w.figures()["edge.dispatches"] == 3
+    assert w.counters()["edge.dispatches"] == 3
 
 
 # --- the balancer alone -----------------------------------------------------------------------------------
--- a/tests/test_request_handling.py
+++ b/tests/test_request_handling.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from network import SETTINGS, StandInClient, World, create_worlds
+from network import SETTINGS, ProxyNetwork, StandInClient, create_networks
 
 from arrowseam.client_request import Request
 from arrowseam.net.clock import SECOND, clock
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
 @pytest.mark.parametrize("mode", ["busy", "error", "reset", "half"])
@@ -35,8 +35,8 @@
     # No earlier attempt may be open when the next begins: one client, one attempt.
     w2 = world(mode, mode, "up")
     w2.client()
-    w2.until(lambda: w2.servers[2].live or sum(len(s.heard) for s in w2.servers) >= 2)
-    assert w2.most_flying == 1
+    w2.until(lambda: w2.servers[2].live or sum(len(s.received) for s in w2.servers) >= 2)
+    assert w2.max_in_flight == 1
 
 
 def test_a_client_that_no_endpoint_accepts_is_rejected_at_once(world):
@@ -62,30 +62,30 @@
     w = world("up", "up")
     w.up()
     w.until(lambda: w.calls)
-    w.tell(s0={"lifecycle": "Terminating"})
+    w.update_list(s0={"lifecycle": "Terminating"})
     w.until(lambda: w.driver.ready_count == 1)
-    before = len(w.servers[0].heard)
+    before = len(w.servers[0].received)
     w.up(20)
-    assert len(w.servers[0].heard) == before
+    assert len(w.servers[0].received) == before
 
 
 def test_a_cold_endpoint_gets_fewer_connections(world):
     """It has 2% of its capacity at first, and twice that would overload it."""
     w = world("up", "up", invariants=SETTINGS["invariants"] | {"cold_share": 0.02, "fall_multiple": 2.0})
     w.up(20)
-    w.tell(s0={"startedAtMs": int(time.time() * 1000)})
+    w.update_list(s0={"startedAtMs": int(time.time() * 1000)})
     w.until(lambda: any("since=2" in target for _, target in w.calls))
-    before = len(w.servers[0].heard), len(w.servers[1].heard)
+    before = len(w.servers[0].received), len(w.servers[1].received)
     w.up(40)
-    assert 3 * (len(w.servers[0].heard) - before[0]) < len(w.servers[1].heard) - before[1]
+    assert 3 * (len(w.servers[0].received) - before[0]) < len(w.servers[1].received) - before[1]
 
 
 def test_messages_are_forwarded_both_ways(world):
     w = world("up")
     (client,) = w.up()
-    client.say(w.words["ask"])
+    client.send(w.messages["ask"])
     w.until(lambda: client.has("reply"))
-    assert w.words["ask"] in w.servers[0].heard[0]
+    assert w.messages["ask"] in w.servers[0].received[0]
 
 
 def test_large_messages_arrive_complete_at_a_slow_reader(world):
@@ -108,24 +108,24 @@
 def test_the_migration_message_goes_between_two_messages(world):
     w = world("up")
     (client,) = w.up()
-    w.servers[0].say(w.words["half"])
+    w.servers[0].send_to_all(w.messages["half"])
     (request,) = w.handler.active.values()
     request.migration_requested = True
     request.wake()
     w.run(0.05)
     assert not client.has("moved")
-    w.servers[0].say(w.words["rest"])
+    w.servers[0].send_to_all(w.messages["rest"])
     w.until(lambda: client.ended_at)
     text = bytes(client.got)
-    assert text.index(w.words["half"] + w.words["rest"]) < text.index(w.words["moved"])
-    assert text.endswith(w.words["moved"])
+    assert text.index(w.messages["half"] + w.messages["rest"]) < text.index(w.messages["moved"])
+    assert text.endswith(w.messages["moved"])
     w.until(lambda: not w.servers[0].live)
 
 
 def test_a_client_is_migrated_from_an_endpoint_that_does_not_reply(world):
     w = world("deaf")
     (client,) = w.up()
-    client.say(w.words["ask"])
+    client.send(w.messages["ask"])
     w.until(lambda: client.ended_at)
     assert client.has("moved")
     assert client.ended_at - client.began < 4 * SECOND
@@ -151,11 +151,11 @@
 def test_a_client_that_disconnects_early_ends_its_attempt_and_gets_no_other(world):
     w = world("silent", "silent")
     client = w.client()
-    w.until(lambda: w.flying)
+    w.until(lambda: w.in_flight)
     client.conn.close()
-    w.until(lambda: not w.flying and not w.handler.active)
+    w.until(lambda: not w.in_flight and not w.handler.active)
     w.run(0.4)
-    assert sum(len(s.heard) for s in w.servers) == 1
+    assert sum(len(s.received) for s in w.servers) == 1
     assert not w.driver._requests
 
 
@@ -164,14 +164,14 @@
     w = world("up", "up")
     clients = w.up(12)
     w.handler.shutdown.begin()
-    heard = sum(len(s.heard) for s in w.servers)
+    heard = sum(len(s.received) for s in w.servers)
     late = w.client(99)
     w.until(lambda: late.ended_at)
     assert late.has("rejected")
     assert late.answers == 1
     assert late.ended_at - late.began < SECOND // 2
     w.until(lambda: not w.handler.active and w.loop.stopped)
-    assert sum(len(s.heard) for s in w.servers) == heard
+    assert sum(len(s.received) for s in w.servers) == heard
     ends = sorted(c.ended_at - late.began for c in clients)
     assert all(c.has("moved") for c in clients)
     assert ends[-1] < (1.8 + 0.7) * SECOND
@@ -181,7 +181,7 @@
 def test_a_shutdown_answers_requests_that_are_not_established(world):
     w = world("silent")
     client = w.client()
-    w.until(lambda: w.flying)
+    w.until(lambda: w.in_flight)
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at)
     assert client.answers == 1
@@ -194,16 +194,16 @@
     client = w.client()
     w.until(lambda: client.ended_at)
     assert client.has("rejected")
-    assert not w.servers[0].heard
+    assert not w.servers[0].received
 
 
 def test_idle_clients_are_rejected_in_place_of_new_ones(world):
     """Hundreds of idle clients held every descriptor, and the others were rejected because of them."""
     w = world("up")
-    opening, w.words = w.words, w.words | {"open": lambda n, klass: b""}
+    opening, w.messages = w.messages, w.messages | {"open": lambda n, klass: b""}
     idle = [w.client() for _ in range(30)]
     w.until(lambda: len(w.loop.expendable) == 30)
-    w.words = opening
+    w.messages = opening
     w.loop.descriptor_limit = len(w.loop.watched) + 20
     client = w.client()
     w.until(lambda: client.answers)
@@ -218,9 +218,9 @@
 
 def test_endless_pings_are_cut_off_and_others_are_served_meanwhile(world):
     w = world("up")
-    opening, w.words = w.words, w.words | {"open": lambda n, klass: b"PING\r\n" * 1000}
+    opening, w.messages = w.messages, w.messages | {"open": lambda n, klass: b"PING\r\n" * 1000}
     noisy = w.client()
-    w.words = opening
+    w.messages = opening
     w.up()
     w.until(lambda: noisy.ended_at)
     assert noisy.ended_at - noisy.began < 3 * SECOND
@@ -230,7 +230,7 @@
 def test_the_error_reaches_a_client_that_sends_sixty_megabytes(world):
     """A reset, caused by unread bytes of the client, overtook the error. The payload is not buffered."""
     w = world("up")
-    head = b"" if w.wire == "lines" else w.words["open"](1, b"tech") + b"PUB a 62914560\r\n"
+    head = b"" if w.wire == "lines" else w.messages["open"](1, b"tech") + b"PUB a 62914560\r\n"
     got, ended_at, began = bytearray(), [], clock()
 
     def send() -> Coroutine[None]:
@@ -271,7 +271,7 @@
     old, calls = w.proxy.discovery.http_client.conn, len(w.calls)
     assert old is not None
     assert not old.closed
-    w.tell(s0={"lifecycle": "Terminating"}, s1={})
+    w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     w.version = 0  # the new service has its own versions
     address = listen(w.loop, ("127.0.0.1", 0), "the new discovery", w._discovery).address
     path.write_text(json.dumps(w.doc | {"discovery": f"{address[0]}:{address[1]}"}))
@@ -306,9 +306,9 @@
     w.until(lambda: client.answers)
     if client.has("up"):
         w.until(lambda: client.has("reply") if w.wire == "nats" else b"early" in client.got)
-    heard = Counter(s.name for s in w.servers for got in s.heard if early in got)
+    heard = Counter(s.name for s in w.servers for got in s.received if early in got)
     assert heard == ({"s3": 1} if client.has("up") else {})
-    assert sum(bytes(got).count(early) for got in w.servers[3].heard) == heard["s3"]
+    assert sum(bytes(got).count(early) for got in w.servers[3].received) == heard["s3"]
 
 
 def test_messages_may_be_split_at_any_byte(world):
@@ -324,28 +324,28 @@
         for n in positions:
             send(n, data[n:])
 
-    opening = w.words["open"](0, b"tech")
+    opening = w.messages["open"](0, b"tech")
     clients: dict[int, Any] = {}
 
     def open_or_send(n: int, part: bytes) -> None:
         if n in clients:
-            clients[n].say(w.words["open"](n, b"tech")[n:])
+            clients[n].send(w.messages["open"](n, b"tech")[n:])
         else:
-            clients[n] = StandInClient(w, w.words["open"](n, b"tech")[:n])
+            clients[n] = StandInClient(w, w.messages["open"](n, b"tech")[:n])
 
     send_split(opening, open_or_send)
     w.until(lambda: all(c.has("up") for c in clients.values()))
     server = w.servers[0]
     server.mode = "up"
     before = [len(c.got) for c in clients.values()]
-    ask = w.words["ask"]
-    send_split(ask, lambda n, part: clients[n].say(part))
+    ask = w.messages["ask"]
+    send_split(ask, lambda n, part: clients[n].send(part))
     w.until(lambda: sum(c.has("reply") for c in clients.values()) == len(ask) - 1)
-    assert sum(ask in got for got in server.heard) == len(ask) - 1
+    assert sum(ask in got for got in server.received) == len(ask) - 1
     assert sum(len(c.got) > b for c, b in zip(clients.values(), before)) == len(ask) - 1
     for client in clients.values():
         client.got.clear()
-    message = w.words["half"] + w.words["rest"]
+    message = w.messages["half"] + w.messages["rest"]
     live = list(server.live)
     send_split(message, lambda n, part: live[n].write(part) and None)
     w.until(lambda: sum(bytes(c.got) == message for c in clients.values()) == len(message) - 1)
@@ -354,9 +354,9 @@
 def test_a_client_that_disconnects_at_any_moment_frees_everything_at_once(world):
     w = world("up", "silent", "half")
     base = len(w.loop.watched)
-    opening = w.words["open"](1, b"tech")
+    opening = w.messages["open"](1, b"tech")
     clients = [
-        StandInClient(w, w.words["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)
+        StandInClient(w, w.messages["open"](n, b"tech")[: 1 + n * 3]) for n in range(len(opening) // 3 + 5)
     ]
     w.until(lambda: all(c.conn is not None for c in clients) and len(w.handler.active) >= 4)
     for client in clients:
--- a/tests/test_termination_races.py
+++ b/tests/test_termination_races.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from network import LANE, SETTINGS, World, create_worlds, free_port
+from network import REQUEST_CLASS, SETTINGS, ProxyNetwork, create_networks, free_port
 
 from arrowseam.client_request import DEADLINE_MARGIN
 from arrowseam.net.clock import MS, SECOND, clock
@@ -29,26 +29,26 @@
 
 
 @pytest.fixture(params=["lines", "nats"])
-def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., World]]:
-    yield from create_worlds(request.param)
+def world(request: pytest.FixtureRequest) -> Iterator[Callable[..., ProxyNetwork]]:
+    yield from create_networks(request.param)
 
 
 @pytest.fixture
-def line_world() -> Iterator[Callable[..., World]]:
+def line_world() -> Iterator[Callable[..., ProxyNetwork]]:
     """For tests that do not depend on the wire protocol."""
-    yield from create_worlds("lines")
+    yield from create_networks("lines")
 
 
 class RawClient:
     """A client outside the event loop, so that everything it does happens at once."""
 
-    def __init__(self, w: World) -> None:
+    def __init__(self, w: ProxyNetwork) -> None:
         self.w, self.got, self.reset, self.eof = w, b"", False, False
         self.sock = socket.create_connection(w.address, timeout=5)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def open(self, number: int = 1, klass: bytes = b"tech") -> RawClient:
-        self.sock.sendall(self.w.words["open"](number, klass))
+        self.sock.sendall(self.w.messages["open"](number, klass))
         return self
 
     def leave(self, how: str) -> None:
@@ -84,13 +84,13 @@
         return self.eof
 
     def has(self, word: str) -> bool:
-        return self.w.words[word] in self.read()
+        return self.w.messages[word] in self.read()
 
 
-def count_openings(w: World) -> int:
+def count_openings(w: ProxyNetwork) -> int:
     """How many attempts have sent their opening to any endpoint."""
     word = b"OPEN " if w.wire == "lines" else b"CONNECT "
-    return sum(word in got for server in w.servers for got in server.heard)
+    return sum(word in got for server in w.servers for got in server.received)
 
 
 def block(seconds: float) -> None:
@@ -101,7 +101,7 @@
 
 
 def with_effect(effect: str, **fields: Any) -> dict[str, Any]:
-    return {"lanes": [LANE | {"effect": effect} | fields, SETTINGS["lanes"][1]]}
+    return {"lanes": [REQUEST_CLASS | {"effect": effect} | fields, SETTINGS["lanes"][1]]}
 
 
 # --- the end of the process -------------------------------------------------------------------------------
@@ -133,7 +133,7 @@
     """It has sent nothing, or half a line."""
     w = world("up")
     idle_client = RawClient(w)
-    idle_client.sock.sendall(w.words["open"](1, b"tech")[:half])
+    idle_client.sock.sendall(w.messages["open"](1, b"tech")[:half])
     w.until(lambda: len(w.loop.expendable) == 1)
     end = Connection.shutdown_write
 
@@ -173,7 +173,7 @@
     assert client.answers == 1
 
 
-def opening_counter(w: World) -> Callable[[], int]:
+def opening_counter(w: ProxyNetwork) -> Callable[[], int]:
     return lambda: count_openings(w)
 
 
@@ -182,16 +182,16 @@
     w = world("busy", "up", known=False)
     client = w.client()
     w.until(lambda: w.handler.active)
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(opening_counter(w))
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at)
     assert client.has("rejected")
     assert client.answers == 1
     assert count_openings(w) == 1
-    w.tell(s1={})
+    w.update_list(s1={})
     w.until(lambda: w.handler.shutdown.is_closing)
-    assert not w.servers[1].heard
+    assert not w.servers[1].received
 
 
 def test_a_request_that_cannot_have_run_is_rejected_at_the_shutdown_whatever_its_class(world):
@@ -213,7 +213,7 @@
     (request,) = w.handler.active.values()
 
     w.until(lambda: request.is_aborted)
-    w.servers[0].say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
+    w.servers[0].send_to_all(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
     w.until(lambda: client.ended_at)
     moved = client.has("moved")
     # The silent endpoint's one PONG answers the proxy's PING; the client's own PING stays unanswered.
@@ -244,11 +244,11 @@
 def test_half_a_line_of_an_endpoint_does_not_prevent_the_migration_message(world):
     w = world("up")
     (client,) = w.up()
-    w.servers[0].say(w.words["half"])
+    w.servers[0].send_to_all(w.messages["half"])
     w.handler.shutdown.begin()
     w.until(lambda: client.ended_at and w.loop.stopped)
     assert client.has("moved")
-    assert w.words["half"] not in client.got
+    assert w.messages["half"] not in client.got
 
 
 def test_signals_during_the_shutdown_do_not_change_its_end(world, tmp_path):
@@ -280,7 +280,7 @@
     raw = RawClient(w).open()
     w.until(lambda: w.handler.active)
     raw.leave(how)
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(lambda: not w.handler.active and w.driver.ready_count)
     w.run(0.2)
     assert not count_openings(w)
@@ -346,7 +346,7 @@
 
 
 def late_connect(
-    w: World, monkeypatch: pytest.MonkeyPatch, act: Callable[[int], Coroutine[None]]
+    w: ProxyNetwork, monkeypatch: pytest.MonkeyPatch, act: Callable[[int], Coroutine[None]]
 ) -> list[int]:
     """Run ``act`` between the choice of an endpoint and the use of its connection."""
     connect, ports = w.loop.connect, {s.listener.address[1] for s in w.servers}
@@ -371,7 +371,7 @@
     def drains(call: int) -> Coroutine[None]:
         if call == 1:
             name = next(s.name for s in w.servers if s.listener.address[1] == calls[0])
-            w.tell(**{name: {"lifecycle": "Terminating"}})
+            w.update_list(**{name: {"lifecycle": "Terminating"}})
             while w.driver.ready_count == 2:
                 yield clock() + MS
 
@@ -380,7 +380,7 @@
     w.until(lambda: raw.has("up"))
     first = next(s for s in w.servers if s.listener.address[1] == calls[0])
     word = b"OPEN " if w.wire == "lines" else b"CONNECT "
-    assert not any(word in got for got in first.heard)
+    assert not any(word in got for got in first.received)
     assert count_openings(w) == 1
     assert not w.driver.balancer.outliers.failing  # it is no failure of the endpoint
 
@@ -408,10 +408,10 @@
     w = world("up", "up", known=False)
     raw = RawClient(w).open()
     w.until(lambda: w.handler.active)
-    w.tell(s0={"lifecycle": "Terminating"}, s1={})
+    w.update_list(s0={"lifecycle": "Terminating"}, s1={})
     w.until(lambda: raw.has("up"))
-    assert not w.servers[0].heard
-    assert len(w.servers[1].heard) == 1
+    assert not w.servers[0].received
+    assert len(w.servers[1].received) == 1
 
 
 # --- the end of an attempt --------------------------------------------------------------------------------
@@ -423,13 +423,13 @@
     w = world("silent", "silent")
     raw = RawClient(w).open()
     w.until(opening_counter(w))
-    first = next(s for s in w.servers if s.heard)
-    first.say(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
+    first = next(s for s in w.servers if s.received)
+    first.send_to_all(b"UP r1\r\n" if w.wire == "lines" else b"PONG\r\n")
     block(1.0)  # the attempt had 360 ms
     w.run(0.3)
-    assert w.most_flying <= 1
+    assert w.max_in_flight <= 1
     assert count_openings(w) == 1
-    assert raw.got.count(w.words["up"]) <= 1
+    assert raw.got.count(w.messages["up"]) <= 1
     assert not raw.has("rejected")
     assert not raw.has("failed")
 
@@ -462,7 +462,7 @@
 
     w.until(answers_late)
     w.run(0.1)
-    assert all(c.read().count(w.words["up"]) <= 1 and b"late" not in c.got for c in clients)
+    assert all(c.read().count(w.messages["up"]) <= 1 and b"late" not in c.got for c in clients)
     assert any(c.has("up") for c in clients)
 
 
@@ -475,7 +475,7 @@
     def broken_off() -> bool:
         for server in w.servers[:2]:
             for conn in list(server.live):
-                if any(b"OPEN" in got for got in server.heard) and not conn.closed:
+                if any(b"OPEN" in got for got in server.received) and not conn.closed:
                     conn.write(answer)
                     conn.close(reset=reset)
         return client.answers > 0
@@ -579,9 +579,11 @@
     w = world("up")
     raw = RawClient(w).open()
     w.until(lambda: raw.has("up"))
-    messages = [w.words["half"] + w.words["rest"]] * 20 if side == "server" else [w.words["ask"]] * 20
+    messages = (
+        [w.messages["half"] + w.messages["rest"]] * 20 if side == "server" else [w.messages["ask"]] * 20
+    )
     w.until(lambda: w.servers[0].live)
-    got = w.servers[0].heard[0]
+    got = w.servers[0].received[0]
     if side == "server":
         conn = w.servers[0].live[0]
         for message in messages:
@@ -625,7 +627,7 @@
     queued = len(w.handler.active)
     assert queued >= 5
     assert 2 * queued <= free - 8
-    w.tell(s0={})
+    w.update_list(s0={})
     w.until(lambda: sum(c.has("up") for c in clients) == queued)
 
 
@@ -647,7 +649,7 @@
 def test_an_endpoint_that_never_finishes_its_answer_does_not_hold_up_others(world):
     """Its bytes were read for as long as it sent them, and the event loop did nothing else meanwhile."""
     w = world("up")
-    message = b"LOAD 1.0\r\n" if w.wire == "lines" else w.words["greeting"]
+    message = b"LOAD 1.0\r\n" if w.wire == "lines" else w.messages["greeting"]
     flood = subprocess.Popen([sys.executable, "-c", FLOOD_SCRIPT, message.decode()], stdout=subprocess.PIPE)
     assert flood.stdout is not None
     port = int(flood.stdout.readline())
@@ -670,7 +672,7 @@
     try:
         w.until(lambda: bool(flooding) and victim.ended(), 8)
         assert clock() - began < 0.7 * SECOND
-        assert w.stood < 0.3
+        assert w.longest_round_s < 0.3
     finally:
         flood.kill()
         flood.wait()
--- a/tests/test_watched_files.py
+++ b/tests/test_watched_files.py
@@ -20,7 +20,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from network import World
+from network import ProxyNetwork
 
 from arrowseam.config.operator import Operator, Servers
 from arrowseam.endpoint_sources.file_watcher import path_steps
@@ -37,20 +37,22 @@
         self.path, self.wire, self.endpoint_count = path, wire, endpoint_count
         self.source_settings = {"settle_ms": 0, "drain_s": 1, "max_removed": 0.7} | source_settings
         self.generations = itertools.count(1)
-        self.worlds: list[World] = []
+        self.worlds: list[ProxyNetwork] = []
 
-    def create_world(self, *names: str, has_snapshots: bool = False, **options: Any) -> World:
+    def create_world(self, *names: str, has_snapshots: bool = False, **options: Any) -> ProxyNetwork:
         """Create a world whose proxy starts without endpoints, until files name the stand-ins."""
         sources = [
             Servers(file=str(self.path / f"{name}.json"), name=name, **self.source_settings)
             for name in names or ("a",)
         ]
         operator = Operator(servers=tuple(sources), state_dir=str(self.path) if has_snapshots else "")
-        w = World(self.wire, *["up"] * self.endpoint_count, operator=operator, **{"known": False} | options)
+        w = ProxyNetwork(
+            self.wire, *["up"] * self.endpoint_count, operator=operator, **{"known": False} | options
+        )
         self.worlds.append(w)
         return w
 
-    def encode_list(self, w: World, *endpoints: int, generation: bool = False, **fields: Any) -> bytes:
+    def encode_list(self, w: ProxyNetwork, *endpoints: int, generation: bool = False, **fields: Any) -> bytes:
         document: dict[str, Any] = {"instances": [w.servers[n].row | fields for n in endpoints]}
         if generation:
             document["generation"] = next(self.generations)
@@ -62,14 +64,14 @@
         new_file.write_bytes(data)
         os.replace(new_file, self.path / f"{name}.json")
 
-    def replace_accepted(self, w: World, data: bytes, name: str = "a") -> None:
+    def replace_accepted(self, w: ProxyNetwork, data: bytes, name: str = "a") -> None:
         """Replace a file and wait until the list is accepted and published."""
         source = w.proxy.endpoint_sources.merged.sources[name]
         count_before = source.taken_count
         self.replace(data, name)
         w.until(lambda: source.taken_count > count_before and not w.proxy.endpoint_sources.merged.has_changes)
 
-    def await_rejection(self, w: World, act: Callable[[], Any], name: str = "a") -> str:
+    def await_rejection(self, w: ProxyNetwork, act: Callable[[], Any], name: str = "a") -> str:
         """Call ``act`` and return the reason of the rejection that follows."""
         source = w.proxy.endpoint_sources.merged.sources[name]
         count_before, records_before = source.rejections.total(), dict(source.records)
@@ -101,7 +103,7 @@
         w.close()
 
 
-def ready_names(w: World) -> set[str]:
+def ready_names(w: ProxyNetwork) -> set[str]:
     return {
         name for name, record in w.proxy.endpoint_sources.merged.published.items() if record.state == "Ready"
     }
@@ -119,7 +121,7 @@
     folder.replace_accepted(w, folder.encode_list(w, 0, 1, generation=True))
     clients, valid = w.up(8), folder.encode_list(w, 0, 1, weight=2.0, generation=True)
     source = w.proxy.endpoint_sources.merged.sources["a"]
-    heard_before = [len(s.heard) for s in w.servers]
+    heard_before = [len(s.received) for s in w.servers]
     invalid = [valid[:size] for size in range(len(valid))]
     for old, new in (
         (b"2.0", b"0"), (b"2.0", b"-1"), (b"2.0", b"NaN"), (b"2.0", b"1e999"), (b"2.0", b"1e9"),
@@ -138,14 +140,14 @@
             clients += w.up(1)
     assert source.taken_count == 1
     assert len(source.records) == 2
-    assert len(w.servers[2].heard) == heard_before[2] == 0
+    assert len(w.servers[2].received) == heard_before[2] == 0
     assert not any(c.ended_at for c in clients)
     folder.replace_accepted(w, valid)
     for client in clients:
         client.got.clear()
-        client.say(w.words["ask"])
+        client.send(w.messages["ask"])
     w.until(lambda: all(c.has("reply") for c in clients))
-    assert w.most_flying <= len(clients)
+    assert w.max_in_flight <= len(clients)
 
 
 def test_a_removed_endpoint_gets_no_new_clients_and_its_own_are_migrated(create_folder):
@@ -180,7 +182,7 @@
     folder.replace_accepted(w, json.dumps({"instances": rows}).encode())
     w.up(1)
     assert len(w.servers[1].live) == 1  # the first connection is drawn by weight alone
-    counters = w.figures()
+    counters = w.counters()
     assert counters["edge.sources.a.servers"] == 3
     assert counters["edge.members"] == 3
 
@@ -208,16 +210,16 @@
     """The file's row wins, either source may drain an endpoint, and either alone keeps it in the list."""
     folder = create_folder()
     w = folder.create_world()
-    w.tell(s0={}, s1={"weight": 5.0})
+    w.update_list(s0={}, s1={"weight": 5.0})
     w.until(lambda: ready_names(w) == {"s0", "s1"})
     folder.replace_accepted(w, folder.encode_list(w, 0, 2, weight=3.0))
     w.until(lambda: ready_names(w) == {"s0", "s1", "s2"})
     published = w.proxy.endpoint_sources.merged.published
     assert published["s0"].weight == 3.0
     assert published["s1"].weight == 5.0
-    w.tell(s0={"lifecycle": "Terminating"})
+    w.update_list(s0={"lifecycle": "Terminating"})
     w.until(lambda: ready_names(w) == {"s1", "s2"})
-    w.tell(s0={"lifecycle": "Gone"}, s1={"lifecycle": "Gone"})
+    w.update_list(s0={"lifecycle": "Gone"}, s1={"lifecycle": "Gone"})
     w.until(lambda: ready_names(w) == {"s0", "s2"})
     assert w.control(b"cordon s0\n") == b"ACK\n"
     folder.replace_accepted(w, folder.encode_list(w, 0, 2, weight=4.0))
@@ -298,7 +300,7 @@
             w.run(0.005)
     published = w.proxy.endpoint_sources.merged.published
     w.until(lambda: all(published[name].weight == 100.0 for name in ("s0", "s1", "s2")))
-    assert w.stood < 0.1
+    assert w.longest_round_s < 0.1
 
 
 def test_a_fifo_a_folder_a_huge_or_world_writable_file_is_rejected_at_once(folder):
